--- a/src/gateway/duties/usageduty.cpp
+++ b/src/gateway/duties/usagereporter.cpp
@@ -1,4 +1,4 @@
-#include "gateway/duties/usageduty.h"
+#include "gateway/duties/usagereporter.h"
 
 #include "common/fields.h"
 
--- a/src/gateway/duties/usageduty.h
+++ b/src/gateway/duties/usagereporter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/decisionlog.h"
-#include "gateway/duties/dutycalls.h"
+#include "gateway/duties/leadercalls.h"
 #include "gateway/duties/usagewindows.h"
 #include "gateway/peers/peertable.h"
 #include "gateway/store/storecalls.h"
--- a/src/gateway/endpoints/endpointquestions.cpp
+++ b/src/gateway/endpoints/endpointprobes.cpp
@@ -1,4 +1,4 @@
-#include "gateway/endpoints/endpointquestions.h"
+#include "gateway/endpoints/endpointprobes.h"
 
 #include <utility>
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -3,15 +3,15 @@
 #include "common/random.h"
 #include "gateway/decisionlog.h"
 #include "gateway/duties/usagewindows.h"
-#include "gateway/endpoints/endpointquestions.h"
+#include "gateway/endpoints/endpointprobes.h"
 #include "gateway/endpoints/quarantine.h"
 #include "gateway/exchange.h"
 #include "gateway/gatewaycounters.h"
 #include "gateway/limits/quotas.h"
 #include "gateway/peers/peertable.h"
 #include "gateway/requests/admissionqueue.h"
-#include "gateway/requests/repeatbudget.h"
-#include "gateway/rollout/rolloutduty.h"
+#include "gateway/requests/gatewayretrybudget.h"
+#include "gateway/rollout/rolloutcontroller.h"
 #include "gateway/rollout/rolloutview.h"
 #include "gateway/rollout/trialcounts.h"
 #include "gateway/sizing/demandmeter.h"
@@ -237,7 +237,7 @@
     void leaveSilentEndpoints(TimeMs now);
     bool canGoOnElsewhere(Exchange &exchange, TimeMs now);
 
-    // Endpoints that end under their requests (endpointends.cpp).
+    // Endpoints that end under their requests (endpointcrashes.cpp).
 
     /// True if the request is to go on only when the endpoint has answered.
     bool noteBroken(const Exchange &exchange, TimeMs now);
@@ -264,7 +264,7 @@
     void tell(const std::vector<const MemberEntry *> &members, const std::vector<LimitWord> &words);
     static boost::json::object limitFields(const FleetEndpoint &endpoint, TimeMs now);
 
-    // Runs on leaving engines (runmoves.cpp).
+    // Runs on leaving engines (migrations.cpp).
     void probeEngines(TimeMs now);
     void moveRunsAway(TimeMs now);
     bool isTooLateToStart(const Exchange &exchange, TimeMs now) const;
--- a/src/gateway/io/gatewaystate.h
+++ b/src/gateway/io/gatewaystate.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/duties/usageduty.h"
+#include "gateway/duties/usagereporter.h"
 #include "gateway/gateway.h"
 #include "gateway/io/clocksource.h"
 #include "gateway/io/gatewayserver.h"
@@ -12,7 +12,7 @@
 #include "io/httpclient.h"
 #include "io/httpserver.h"
 #include "io/latency.h"
-#include "platform/duties.h"
+#include "platform/leadertasks.h"
 #include "platform/requests.h"
 #include "platform/storecodec.h"
 
--- a/src/gateway/requests/repeatbudget.cpp
+++ b/src/gateway/requests/gatewayretrybudget.cpp
@@ -1,4 +1,4 @@
-#include "gateway/requests/repeatbudget.h"
+#include "gateway/requests/gatewayretrybudget.h"
 
 #include <algorithm>
 
--- a/src/gateway/rollout/rolloutduty.cpp
+++ b/src/gateway/rollout/rolloutcontroller.cpp
@@ -1,4 +1,4 @@
-#include "gateway/rollout/rolloutduty.h"
+#include "gateway/rollout/rolloutcontroller.h"
 
 #include "gateway/rollout/rolloutview.h"
 
--- a/src/gateway/rollout/rolloutduty.h
+++ b/src/gateway/rollout/rolloutcontroller.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/decisionlog.h"
-#include "gateway/rollout/versionjudge.h"
+#include "gateway/rollout/versionevaluator.h"
 #include "gateway/store/storecalls.h"
 #include "gateway/store/storesync.h"
 
--- a/src/gateway/rollout/versionjudge.cpp
+++ b/src/gateway/rollout/versionevaluator.cpp
@@ -1,4 +1,4 @@
-#include "gateway/rollout/versionjudge.h"
+#include "gateway/rollout/versionevaluator.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/gateway/sizing/enginesizing.h
+++ b/src/gateway/sizing/enginesizing.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gateway/decisionlog.h"
-#include "gateway/duties/dutycalls.h"
+#include "gateway/duties/leadercalls.h"
 #include "gateway/endpoints/endpointfleet.h"
 #include "gateway/rollout/rolloutview.h"
 #include "gateway/sizing/engineplan.h"
--- a/tests/decoders_random_test.cpp
+++ b/tests/decoders_random_test.cpp
@@ -4,7 +4,7 @@
 #include "gateway/peers/peerdatagrams.h"
 #include "gatewayfixture.h"
 #include "platform/documents.h"
-#include "platform/duties.h"
+#include "platform/leadertasks.h"
 #include "platform/requests.h"
 #include "platform/storecodec.h"
 
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -1,5 +1,5 @@
 #include "fakestore.h"
-#include "gateway/duties/usageduty.h"
+#include "gateway/duties/usagereporter.h"
 #include "gateway/peers/memberentry.h"
 #include "gateway/store/storesync.h"
 #include "gatewayfixture.h"
--- a/tests/gatewayparts_test.cpp
+++ b/tests/gatewayparts_test.cpp
@@ -6,7 +6,7 @@
 #include "gateway/peers/peerdatagrams.h"
 #include "gateway/peers/peertable.h"
 #include "gateway/requests/eventstream.h"
-#include "gateway/requests/repeatbudget.h"
+#include "gateway/requests/gatewayretrybudget.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,5 +1,5 @@
 #include "platform/documents.h"
-#include "platform/duties.h"
+#include "platform/leadertasks.h"
 #include "platform/requests.h"
 #include "platform/storecodec.h"
 
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,7 +1,7 @@
 // Roll-outs: records, the rule by which requests go to versions, and the holder's stages.
 
 #include "fakestore.h"
-#include "gateway/rollout/rolloutduty.h"
+#include "gateway/rollout/rolloutcontroller.h"
 #include "gateway/rollout/rolloutview.h"
 #include "gatewayfixture.h"
 
--- a/tests/versionjudge_test.cpp
+++ b/tests/versionevaluator_test.cpp
@@ -2,7 +2,7 @@
 // while endpoints crash, fail by themselves and are overloaded. Two ways are compared.
 
 #include "common/random.h"
-#include "gateway/rollout/versionjudge.h"
+#include "gateway/rollout/versionevaluator.h"
 
 #include <array>
 #include <cmath>
