--- a/src/gateway/limits/limits.cpp
+++ b/src/gateway/limits/limits.cpp
@@ -1,5 +1,5 @@
-// Organisations' limits: a request runs on this daemon's balance, or waits a moment for what others can
-// spare.
+// Organisations' limits: a request is charged to this daemon's balance, or waits briefly for units that other
+// daemons can spare.
 
 #include "gateway/gateway.h"
 
@@ -9,23 +9,24 @@
 
 namespace {
 
-/// So long a request waits for units from other daemons: several ways there and back, and still a small part
-/// of any caller's time.
+/// How long a request waits for units from other daemons. Covers several round trips and is still a small
+/// part of any caller's deadline.
 constexpr DurationMs GiftTime{150};
-/// A daemon that lacks units asks for a little more than one request needs, in parts of it, for the next
-/// ones.
+/// A daemon that lacks units requests this fraction more than one request needs, for the next requests.
 constexpr double AskedBeyond = 0.5;
-/// Others are asked if they had this part of what is missing when they told last.
+/// Other daemons are asked only if they had at least this fraction of the missing units by their last
+/// reports.
 constexpr double LeastHope = 0.5;
-/// Daemons asked for one request, at most.
+/// Maximum number of daemons that are asked for units for one request.
 constexpr size_t MostAsked = 12;
-/// A daemon that has just started does not know the others' balances. So long at most, and for so many waits,
-/// a request waits for what their first reports bring; each wait is a GiftTime.
+/// A daemon that has just started does not know the other daemons' balances. For this time after its start, a
+/// request waits for their first reports, up to MaxStartupWaits times for TransferTimeout each.
 constexpr DurationMs StartTime{1500};
 constexpr uint32_t MostStartWaits = 4;
-/// Numbers of one giver's gifts that are remembered, to take doubled ones once. Datagrams are not that late.
+/// Transfer numbers of one sender that are remembered, to ignore duplicates. Datagrams are never delayed by
+/// more transfers than this.
 constexpr uint64_t NumbersRemembered = 500;
-/// Pace of gathering what daemons don't need.
+/// Interval of depositing units that this daemon does not need.
 constexpr DurationMs DepositPace{500};
 constexpr DurationMs LeastRetryAfter{400};
 
@@ -44,7 +45,8 @@
 
 } // namespace
 
-// Within: the units are taken. Waits: others are asked. Refused: the caller has its answer.
+// Takes the request's units from the balance. Within: the units are taken. Waits: other daemons are asked for
+// units. Refused: the request was refused.
 Gateway::LimitOutcome Gateway::takeQuota(Exchange &exchange, bool mayAsk, TimeMs now)
 {
     const ServedOrganisation *organisation = exchange.organisation.value.empty()
@@ -66,15 +68,15 @@
         return LimitOutcome::Waits;
     }
     const double spare = sumOf(peers_.spares(organisation->name, shortage->missing, now));
-    // What others can spare is had sooner there: the caller comes back to any daemon.
+    // The caller may retry at any daemon, so it gets spare units sooner at a daemon that has them.
     const DurationMs wait
         = spare >= shortage->missing ? LeastRetryAfter : std::max(shortage->wait, LeastRetryAfter);
     answer(exchange, {429, GatewayRefusal::OverLimit, wait}, now);
     return LimitOutcome::Refused;
 }
 
-// Asks those where the limit's rest is gathered, and others that can spare something. False if nobody can
-// help.
+// Requests units from the quota pool daemons and others that can spare some. Returns false if the known spare
+// units are too few.
 bool Gateway::askForUnits(Exchange &exchange, double missing, TimeMs now)
 {
     std::vector<PeerTable::Spare> spares = peers_.spares(exchange.organisation, missing, now);
@@ -84,7 +86,7 @@
         return false;
     awaitLimit(exchange, now);
     exchange.askedForUnits = true;
-    // Reports are old: each is asked for more than its part, and gives what it has.
+    // Reports may be outdated, so each daemon is asked for more than its part and transfers what it has.
     const double wanted = missing * (1 + AskedBeyond);
     for (const PeerTable::Spare &spare : spares) {
         const double part
@@ -128,7 +130,7 @@
                        [this](const MemberEntry *member) { return member->instance == settings_.instance; });
 }
 
-// What this daemon does not need is gathered at a few, so that a large request finds it with few questions.
+// Transfers surplus units to the quota pool daemons, so that a large request finds them with few queries.
 void Gateway::deposit(TimeMs now)
 {
     if (!configuration_ || !peers_.isSharer() || now < depositedAt_ + DepositPace)
@@ -155,7 +157,7 @@
             TellPeer{from, QuotaGift{settings_.incarnation, ask.number, ask.organisation, given, false}});
 }
 
-// A late gift is taken, too: its giver no longer has it.
+// A late transfer is accepted, too, since the sender has already taken the units from its balance.
 void Gateway::onQuotaGift(const QuotaGift &gift, TimeMs now)
 {
     if (!giftsTaken_.insert({gift.from, gift.deposit, gift.number}).second)
@@ -178,7 +180,7 @@
     goOnWithinLimit(exchange, now);
 }
 
-// The configuration may have changed while the request waited.
+// Checks the request again, since the configuration may have changed while it waited.
 void Gateway::goOnWithinLimit(Exchange &exchange, TimeMs now)
 {
     limitAsks_.erase(exchange.limitAsk);
--- a/src/gateway/limits/quotas.cpp
+++ b/src/gateway/limits/quotas.cpp
@@ -7,18 +7,21 @@
 
 namespace {
 
-/// Part of the tolerance that callers get. Single prompts are larger than a second of the rate, so balances
-/// of the bare burst refuse organisations that stay far below their limit in the mean. The rest covers
-/// daemons that start, and the moments in which they don't agree on how many they are.
+/// Fraction of the tolerance that callers get. A single prompt may need more than one second of the rate, so
+/// balances limited to the burst would refuse organisations whose mean use is far below their limit. The rest
+/// of the tolerance covers daemons that start, and moments in which daemons don't agree on their number.
 constexpr double UsedTolerance = 0.6;
-/// A daemon that starts may have spent its balance in an earlier life.
+/// Initial balance as a fraction of the share. The previous incarnation of a daemon may have spent its
+/// balance.
 constexpr double StartPart = 0.3;
-/// A balance keeps this part of its share of the burst when others ask.
+/// Fraction of its share of the burst that a daemon keeps when others request units.
 constexpr double KeptPart = 0.15;
-/// What a daemon leaves itself when it gives the rest to be gathered, and the least that is worth a message.
+/// Fraction of its share that a daemon retains when it deposits the rest, and the minimum fraction that is
+/// worth a message.
 constexpr double OwnPart = 0.5;
 constexpr double SurplusPart = 0.15;
-/// A request larger than this part of the whole burst runs on so much, and the rest is owed.
+/// A request larger than this fraction of the whole burst runs when this much is available. The rest makes
+/// the balance negative.
 constexpr double MostAtOnce = 0.6;
 
 } // namespace
@@ -35,7 +38,8 @@
     const double leftByOthers = (1 - OwnPart - SurplusPart) * (daemons - keepers) / keepers;
     balance.bound
         = !role.shares ? 0 : balance.part * (role.isKeeper ? 1 + leftByOthers : OwnPart + SurplusPart);
-    // Those that go on share the whole by now, so what one that stands by has left would be theirs twice.
+    // The serving daemons already share the whole limit, so units left at a standby daemon would be counted
+    // twice.
     if (balance.shares && !role.shares)
         balance.units = std::min(balance.units, 0.0);
     balance.shares = role.shares;
--- a/src/gateway/limits/quotas.h
+++ b/src/gateway/limits/quotas.h
@@ -6,54 +6,55 @@
 
 namespace cranberry {
 
-/// How far the operators let an organisation's use go beyond its limit before they call it broken. In any
-/// window it may use (rate x window + burst) x (1 + over) + slack.
+/// How far an organisation's use may exceed its limit before the limit counts as violated. In any window it
+/// may use (rate x window + burst) x (1 + over) + slack.
 struct QuotaTolerance {
     double over = 0;
-    double slack = 0; ///< In the limit's own unit.
+    double slack = 0; ///< In the unit of the limit.
 };
 
-/// This daemon's place among those that share the limits.
+/// This daemon's role among those that share the limits.
 struct QuotaRole {
-    size_t daemons = 1; ///< That share them.
-    size_t keepers = 1; ///< Of one organisation's limit.
-    bool isKeeper = true; ///< Gathers what the others don't need.
-    bool shares = true; ///< False: it stands by, and runs a request on what others give.
+    size_t daemons = 1; ///< Daemons that share the limits.
+    size_t keepers = 1; ///< Quota pool daemons of one organisation's limit.
+    bool isKeeper = true; ///< Collects units that the other daemons don't need.
+    bool shares = true; ///< False: standby; a request needs units from other daemons.
 };
 
-/// What a request lacks of its organisation's limit at this daemon.
+/// Units that this daemon lacks for a request within its organisation's limit.
 struct QuotaShortage {
-    double missing = 0; ///< Units that another daemon may give.
-    DurationMs wait; ///< Until they are here without help.
+    double missing = 0; ///< Units that other daemons may transfer.
+    DurationMs wait; ///< Time until the rate alone has added the missing units.
 };
 
-/// Limits of the organisations over all daemons, by balances that move.
+/// Enforces the organisations' limits over all daemons, by balances that daemons transfer to each other.
 ///
-/// Each daemon that serves fills a balance of its own with its part of the rate, up to its part of the burst;
-/// one that stands by has no part, since a large request would find too little in any one place. One that
-/// lacks units asks others, which give from their balances; what is given is taken there first. So the sum of
-/// all balances never exceeds the burst, whatever messages are lost, and no partition lets more through. What
-/// a lost gift costs is a little of the limit, not its observance.
+/// Each serving daemon refills its own balance with its share of the rate, up to its share of the burst. A
+/// standby daemon has no share: with more shares, a large request would find too few units at any one daemon.
+/// A daemon that lacks units requests them from others, which take them from their own balance before they
+/// send them. So the sum of all balances never exceeds the burst, whatever messages are lost, and a partition
+/// lets no more through. A lost transfer makes the effective limit slightly lower; it never exceeds the
+/// limit.
 class Quotas
 {
 public:
     void setTolerance(const QuotaTolerance &tolerance) { tolerance_ = tolerance; }
 
-    /// Brings an organisation's balance up to date;
+    /// Refills an organisation's balance up to `now`.
     void refill(const ServedOrganisation &organisation, const QuotaRole &role, TimeMs now);
-    /// Takes `units` and returns nothing, or leaves them and returns what is missing.
+    /// Takes `units` and returns nothing, or takes nothing and returns the shortage.
     std::optional<QuotaShortage> take(const ServedOrganisation &organisation, double units,
                                       const QuotaRole &role, TimeMs now);
-    /// Gives back what was taken for a request that did not run.
+    /// Returns the units that were taken for a request that did not run.
     void giveBack(const OrganisationName &organisation, double units);
 
-    /// Takes what this daemon does not need for itself, to be gathered elsewhere; 0 if it is not worth a
-    /// message.
+    /// Takes the units that this daemon does not need, for a deposit at a quota pool daemon. Returns 0 if
+    /// they are not worth a message.
     double surplus(const OrganisationName &organisation);
-    /// Takes from the own balance, for another daemon, what can be spared of `asked`.
+    /// Takes up to `asked` units from the balance for another daemon, as far as they can be spared.
     double give(const OrganisationName &organisation, double asked);
     void receive(const OrganisationName &organisation, double units);
-    /// Keeps for all what was not asked for, as far as this daemon's bound allows; the rest is lost.
+    /// Adds deposited units up to this daemon's bound; the rest is lost.
     void keep(const OrganisationName &organisation, double units);
 
     std::vector<OrganisationBalance> balances() const;
@@ -61,17 +62,17 @@
 private:
     struct Balance {
         double units = 0;
-        double part = 0; ///< The burst by the number of daemons.
-        double bound = 0; ///< The balance is filled up to here.
+        double part = 0; ///< Burst divided by the number of daemons.
+        double bound = 0; ///< The balance is refilled up to this value.
         TimeMs filledAt;
         bool started = false;
-        bool shares = false; ///< As of the newest filling.
+        bool shares = false; ///< At the last refill.
     };
     QuotaTolerance tolerance_;
     std::map<OrganisationName, Balance> balances_;
 };
 
-/// What a request counts against its organisation's limit.
+/// Returns the units that a request counts against its organisation's limit.
 double quotaUnits(const ServedOrganisation &organisation, bool statesTokens, uint64_t tokens);
 
 } // namespace cranberry
--- a/src/gateway/requests/admissionqueue.h
+++ b/src/gateway/requests/admissionqueue.h
@@ -6,21 +6,21 @@
 
 namespace cranberry {
 
-/// A request that waits at this daemon until an endpoint has room.
+/// A request that waits at this daemon until an endpoint has a free slot.
 struct WaitingRequest {
     CallerId caller;
     uint32_t priority = 0; ///< 0 is most urgent.
     TimeMs arrivedAt;
-    /// Sent later than this, it can't be answered within its target any more.
+    /// If the request is sent later than this, it misses its latency target.
     TimeMs inTimeUntil;
 };
 
 /// The order in which waiting requests are served.
 ///
-/// Answers load in which more is asked than the endpoints can do for some seconds: reclaims, bursts, the
-/// return of all callers after an outage. First come, first served makes all late then, since each waits
-/// behind those who have waited too long already. So those who can still be answered in time go first, by
-/// priority, then by arrival; the others follow when there is room.
+/// The load may exceed the endpoints' capacity for some seconds: after reclaims, in bursts, and when all
+/// callers return after an outage. In FIFO order every request would then miss its latency target, since
+/// each waits behind requests that have already missed theirs. Requests that can still meet their target
+/// therefore go first, by priority, then by arrival time; the others follow when capacity is left.
 class AdmissionQueue
 {
 public:
@@ -31,7 +31,7 @@
     std::vector<CallerId> inOrder(TimeMs now) const;
 
 private:
-    std::vector<WaitingRequest> waiting_; ///< By priority, then by arrival.
+    std::vector<WaitingRequest> waiting_; ///< Sorted by priority, then by arrival time.
 };
 
 } // namespace cranberry
--- a/src/gateway/requests/attempts.cpp
+++ b/src/gateway/requests/attempts.cpp
@@ -1,4 +1,5 @@
-// What endpoints answer to attempts: passed on, repeated elsewhere, resumed, or given up.
+// Handles the outcome of attempts: forwards the response, retries or resumes at another endpoint, or gives
+// up.
 
 #include "gateway/gateway.h"
 
@@ -10,15 +11,16 @@
 
 namespace {
 
-/// Sends to endpoints that stated they did not run the request don't use up the route's attempts, but end
-/// somewhere.
+/// Maximum number of rejections of one request by endpoints that state that they did not run it. These sends
+/// don't count against the route's attempts.
 constexpr uint32_t MostRejections = 2;
-/// With less time than this left, an attempt can't be answered any more.
+/// An attempt with less time left than this could not be answered in time and is not sent.
 constexpr DurationMs LeastUsefulTime{20};
-constexpr size_t MostHeldBody = 8U << 20; ///< Larger answers are passed on as they come.
-/// Weight of the newest answer in the mean time of a service's answers: about the last twenty count.
+constexpr size_t MostHeldBody = 8U << 20; ///< An attempt with a larger response body is cancelled as failed.
+/// Weight of the newest response in the moving mean of a service's response times. It averages over about
+/// the last 20 responses.
 constexpr double AnswerTimeWeight = 0.05;
-/// Of the slack of the repeats, for the daemons that serve.
+/// Fraction of the retry slack that is divided among the serving daemons.
 constexpr double SharedSlackPart = 0.8;
 constexpr int FirstServerError = 500;
 constexpr std::array PromisesNotRun = {408, 421, 429, 503};
@@ -36,7 +38,7 @@
     return found == attempts_.end() ? nullptr : &exchanges_.at(found->second);
 }
 
-// Ends the bookkeeping of the open attempt.
+// Removes the open attempt from the bookkeeping of this daemon.
 void Gateway::detach(Exchange &exchange)
 {
     exchange.move.reset();
@@ -47,7 +49,7 @@
     exchange.attempt = {};
 }
 
-// Gives the open attempt up; what was sent may have run.
+// Cancels the open attempt. The endpoint may already have run the request.
 void Gateway::cancelAttempt(Exchange &exchange)
 {
     exchange.mayHaveRun = true;
@@ -63,8 +65,8 @@
     usage_.count(exchange.organisation, at);
 }
 
-// An answer that is not this request's own, and one of an instance that took over the address, say nothing
-// about the request; the connection is given up with the attempt.
+// A response to a different request, or one from another instance that took over the address, says nothing
+// about the outcome of this request. The attempt is cancelled and its connection closed.
 void Gateway::onHead(const AttemptHead &event, TimeMs now)
 {
     Exchange *exchange = byAttempt(event.attempt);
@@ -82,7 +84,7 @@
         noteStarted(*exchange, exchange->sentAt);
 }
 
-// The endpoint stated that it did not run the request: it may go elsewhere, whatever its kind.
+// The endpoint stated that it did not run the request, so a request of any kind may be sent to another one.
 void Gateway::onRejected(Exchange &exchange, TimeMs now)
 {
     log(LogWeight::Failure, "rejected", exchange,
@@ -124,8 +126,8 @@
         cancelBroken(event.attempt, now);
 }
 
-// Passes whole events on at once. False if the endpoint left an event out or sent one twice: what it sends
-// is not the stream that the caller has read so far.
+// Forwards complete events to the caller as they arrive. Returns false if the endpoint skipped or repeated an
+// event, since its stream does not continue the one that the caller has received so far.
 bool Gateway::passEvents(Exchange &exchange, TimeMs now)
 {
     std::string bytes;
@@ -174,7 +176,8 @@
         return;
     if (!exchange->head.eventStream)
         return passWholeAnswer(*exchange, now);
-    // A run that was stopped for its move ends its stream without the last event; it goes on elsewhere.
+    // A generation that was stopped for its migration ends its stream without the last event. It continues at
+    // the target.
     if (exchange->move && exchange->move->handle) {
         exchange->move->sourceClosed = true;
         return goOnAtTarget(*exchange, now);
@@ -191,7 +194,7 @@
     runQueue(now);
 }
 
-// A server's own failure may be repeated where the route allows it; otherwise it is the caller's answer.
+// Forwards a complete response. A server error (5xx) is retried where the route allows it.
 void Gateway::passWholeAnswer(Exchange &exchange, TimeMs now)
 {
     const bool failed = exchange.head.status >= FirstServerError;
@@ -216,7 +219,8 @@
     }
     if (exchange.phase == ExchangePhase::Streaming)
         return streamBroke(exchange, now);
-    // These promise the caller that nothing ran. The endpoint did not state that, so it is not passed on.
+    // These statuses tell the caller that the request did not run. The endpoint did not state that, so the
+    // response is not forwarded.
     if (std::find(PromisesNotRun.begin(), PromisesNotRun.end(), exchange.head.status)
         != PromisesNotRun.end()) {
         exchange.mayHaveRun = true;
@@ -261,7 +265,7 @@
     goOnAfterBreak(exchange, sent, now);
 }
 
-// The attempt's outcome is unknown, or nothing of it was sent.
+// Closes an attempt whose outcome is unknown, or of which nothing was sent.
 void Gateway::closeBroken(Exchange &exchange, bool sent, TimeMs now)
 {
     log(LogWeight::Failure, "attempt_broken", exchange,
@@ -291,16 +295,16 @@
     giveUp(exchange, GatewayRefusal::EndpointBroken, now);
 }
 
-// Whether a request that may have run may run once more.
+// Returns whether a request that may already have run may be sent again.
 bool Gateway::mayRepeat(const Exchange &exchange) const
 {
     return exchange.sends < exchange.route->attempts && isRepeatable(*exchange.route);
 }
 
-// This daemon's part of the repeats that all daemons may make besides the ratio. Those that serve get it: an
-// equal share of 83 daemons left 2 repeats to each of the 10 that had all the streams of a reclaimed failure
-// domain, and most of these were cut. A part is kept back for the moments in which daemons begin to serve and
-// others still count without them.
+// Returns this daemon's share of the retry slack, i.e. of the retries allowed beyond the ratio. Only serving
+// daemons get a share: with equal shares for all 83 daemons, the 10 that held all streams of a reclaimed
+// failure domain got 2 retries each, and most of these streams were cut. A fraction is left undivided for the
+// moments in which a daemon begins to serve and others don't count it yet.
 double Gateway::slackShare(TimeMs now) const
 {
     if (!peers_.isSharer())
@@ -309,10 +313,11 @@
     return sharers == 1 ? 1 : SharedSlackPart / static_cast<double>(sharers);
 }
 
-// One more send, if the time, the budget of all daemons and an endpoint are there.
+// Sends the request again if enough time, retry budget and an endpoint are available.
 bool Gateway::repeat(Exchange &exchange, GatewayRetry reason, TimeMs now)
 {
-    // Also after a statement that the last attempt did not run it: an earlier one may have.
+    // Applies also if the last endpoint stated that it did not run the request: an earlier one may have run
+    // it.
     if (exchange.mayHaveRun && !isRepeatable(*exchange.route))
         return false;
     if (std::min(exchange.callerWaitsUntil, exchange.timeoutAt) - now < LeastUsefulTime)
@@ -336,7 +341,7 @@
     return true;
 }
 
-// The caller has part of the answer: closing without the end mark tells it that the rest will not come.
+// Closes the caller's stream without the end mark, which shows the caller that its response is incomplete.
 void Gateway::streamBroke(Exchange &exchange, TimeMs now)
 {
     counters_.add(GatewayCount::StreamsBroken);
@@ -347,9 +352,10 @@
     runQueue(now);
 }
 
-// Streams that may go on elsewhere leave an endpoint that fell silent; the others wait, it may come back. All
-// leave one that has started again: its earlier life answers nothing any more, and behind a cut no reset
-// tells that. Callers would wait for the rest until their deadline.
+// Moves streams that can continue elsewhere away from an endpoint that fell silent. The others wait, since
+// the endpoint may come back. All attempts at an endpoint that has restarted are cancelled: its previous
+// incarnation sends nothing any more, behind a network partition no TCP reset arrives, and callers would wait
+// until their deadline.
 void Gateway::leaveSilentEndpoints(TimeMs now)
 {
     std::vector<AttemptId> silent;
@@ -370,9 +376,10 @@
     }
 }
 
-// An engine that is overloaded looks silent, too: with a third of its engines gone a service's streams paused
-// for longer than its callers accept, and they were cut when no repeat was left for them. A stream that can't
-// go on elsewhere waits; the rest may still come in time.
+// Returns whether the stream can be resumed at another endpoint now. An overloaded engine looks silent, too:
+// when a service lost a third of its engines, the pauses in its streams exceeded the gap target, and streams
+// were cut once the retry budget was used up. A stream that can't continue elsewhere waits instead, since its
+// remaining events may still arrive in time.
 bool Gateway::canGoOnElsewhere(Exchange &exchange, TimeMs now)
 {
     PlacementQuestion question = questionOf(exchange);
--- a/src/gateway/requests/eventstream.cpp
+++ b/src/gateway/requests/eventstream.cpp
@@ -30,7 +30,7 @@
     return std::nullopt;
 }
 
-// Just behind the blank line that ends the first event; lines may end in LF or CRLF.
+// Returns the position after the blank line that ends the first event. Lines may end in LF or CRLF.
 size_t endOfEvent(const std::string &buffer)
 {
     const size_t plain = buffer.find("\n\n");
--- a/src/gateway/requests/eventstream.h
+++ b/src/gateway/requests/eventstream.h
@@ -7,13 +7,13 @@
 
 namespace cranberry {
 
-/// One whole event of a text/event-stream.
+/// One complete event of a text/event-stream.
 struct StreamEvent {
-    std::string text; ///< With its blank line.
+    std::string text; ///< Includes the blank line that ends the event.
     std::optional<uint64_t> id;
 };
 
-/// Cuts a stream of bytes into whole events. What an endpoint left unfinished is never handed on.
+/// Splits a byte stream into complete events. An incomplete event is never returned.
 class EventSplitter
 {
 public:
--- a/src/gateway/requests/gatewayretrybudget.cpp
+++ b/src/gateway/requests/gatewayretrybudget.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Part of the budget that is used: a daemon that starts again has forgotten what it used, and the daemons
-/// don't agree at any moment on how many share the slack.
+/// Fraction of the budget that this daemon uses. The rest covers restarted daemons, which don't know what
+/// they used before, and moments in which the daemons don't agree on how many of them share the slack.
 constexpr double UsedPart = 0.85;
 
 } // namespace
--- a/src/gateway/requests/gatewayretrybudget.h
+++ b/src/gateway/requests/gatewayretrybudget.h
@@ -7,27 +7,27 @@
 
 namespace cranberry {
 
-/// How many sends beyond the first of each request a service may get, over all daemons.
+/// Limits the retries (sends beyond the first of each request) of a service, over all daemons.
 struct RepeatLimits {
-    double ratio = 0.2; ///< Of the requests for the service.
-    double slack = 10; ///< Repeats allowed besides, over all daemons.
+    double ratio = 0.2; ///< Retries allowed per request of the service.
+    double slack = 10; ///< Retries allowed beyond the ratio, over all daemons.
     DurationMs window{10000};
 };
 
-/// This daemon's part of the repeats that all daemons may make: the ratio of its own requests, and its share
-/// of the slack. It guards against retry storms: without it a failing service gets a multiple of its load.
+/// This daemon's part of the retries that all daemons may make: the ratio of its own requests, and its share
+/// of the slack. Prevents retry storms, in which a failing service gets a multiple of its normal load.
 class RepeatBudget
 {
 public:
     void setLimits(const RepeatLimits &limits) { limits_ = limits; }
     void request(const ServiceName &service, TimeMs now);
-    /// True if one more repeat is within the budget.
+    /// Returns whether one more retry is within the budget.
     bool allows(const ServiceName &service, double slackShare, TimeMs now);
-    /// The same; it is then taken.
+    /// Takes one retry from the budget. Returns false if the budget is used up.
     bool take(const ServiceName &service, double slackShare, TimeMs now);
 
 private:
-    /// Events of one second, to keep the window's sums small.
+    /// Counts of one second; the window is kept as one slot per second to bound its size.
     struct Slot {
         int64_t second = 0;
         uint32_t requests = 0;
--- a/src/gateway/requests/migrations.cpp
+++ b/src/gateway/requests/migrations.cpp
@@ -6,18 +6,19 @@
 
 namespace {
 
-/// Left for the move itself and the rest of what is under way.
+/// Time left for the migration itself and for events that are still in flight.
 constexpr DurationMs MoveMargin{500};
-/// A copy of one run takes milliseconds; those of a whole engine queue behind each other.
+/// Copying the KV cache of one generation takes milliseconds, but the copies of a whole engine are queued.
 constexpr DurationMs MoveTimeout{1200};
-/// An engine answers from memory; a later answer is of no use for a notice of seconds.
+/// An engine replies from memory. A later reply is useless, since reclaim notices are seconds long.
 constexpr DurationMs ProbeTimeout{500};
-/// After the reply the stopped stream's last bytes are still to come.
+/// Time for the last bytes of the stopped stream, which arrive after the reply to the migration request.
 constexpr DurationMs LastBytesTime{150};
-/// Before the end of a roll-out most streams end by themselves; what is left is moved in this time.
+/// Time before the end of a roll-out in which the remaining streams are migrated. Most streams end by
+/// themselves before it.
 constexpr DurationMs LastMoves{1300};
-constexpr size_t MostMoves = 4; ///< Tries for one request, each at another target.
-/// Pace of a stream of which only the first event has been seen.
+constexpr size_t MostMoves = 4; ///< Migration attempts per request, each to another target.
+/// Event interval assumed for a stream of which only the first event has been received.
 constexpr double UnknownEventMs = 60;
 
 } // namespace
@@ -46,9 +47,8 @@
     fleet_.leaves(life, after, now);
 }
 
-// Streams on an engine that leaves before they end are stopped there, and go on at another engine from the
-// memory that was copied. That counts as the same run, so it is allowed for streams that can't be resumed,
-// too.
+// Stops streams on an engine that leaves before they end, and continues them at another engine from the
+// copied KV cache. This is the same generation, so it is allowed also for streams that can't be resumed.
 void Gateway::moveRunsAway(TimeMs now)
 {
     std::vector<CallerId> toMove;
@@ -72,8 +72,8 @@
         goOnAtTarget(exchanges_.at(id), now);
 }
 
-// A request that still waits at an engine when this goes has no memory to move. One that may run twice is
-// sent elsewhere in time; for the others that would be a guess whether they have begun.
+// Returns whether a request that still waits at a leaving engine has to be sent elsewhere. It has no KV cache
+// to migrate. Only retryable requests qualify: whether another one has begun to run is not known.
 bool Gateway::isTooLateToStart(const Exchange &exchange, TimeMs now) const
 {
     const FleetEndpoint *endpoint = fleet_.find(exchange.at);
@@ -82,7 +82,7 @@
         && endpoint && endpoint->leavesAt && now + MoveMargin > *endpoint->leavesAt;
 }
 
-// Of a roll-out, endpoints of other versions than the target stop when it is completed.
+// Endpoints of other versions than the target of a roll-out stop when the roll-out is completed.
 std::optional<TimeMs> Gateway::emptyBy(const FleetEndpoint &endpoint, TimeMs now) const
 {
     const std::optional<int64_t> emptyBy
@@ -124,7 +124,7 @@
     if (!source || !target)
         return;
     if (!repeats_.take(exchange.service, slackShare(now), now)) {
-        // Tried again with each tick, told once.
+        // Tried again with each tick, but logged only once.
         if (!std::exchange(exchange.moveDenied, true)) {
             counters_.add(GatewayCount::RetriesDenied);
             log(LogWeight::Failure, "repeat_denied", exchange, {{"reason", toText(GatewayRetry::Moved)}});
@@ -163,8 +163,8 @@
         goOnAtTarget(*exchange, now);
 }
 
-// The run may have stopped without its memory having arrived anywhere: then its stream has ended, and what
-// can be resumed is. If it still runs, nothing has happened.
+// If the generation stopped but its KV cache did not arrive at the target, its stream has ended and is
+// resumed where possible. If the generation still runs, the stream just continues.
 void Gateway::moveFailed(Exchange &exchange, TimeMs now)
 {
     const bool closed = exchange.move->sourceClosed;
@@ -177,7 +177,7 @@
 {
     const RunMove move = *exchange.move;
     cancelAttempt(exchange);
-    // A target that started again does not hold the memory any more.
+    // A target that has restarted no longer holds the KV cache.
     if (!fleet_.find(move.target) || isQuarantined(exchange, now))
         return streamBroke(exchange, now);
     counters_.add(GatewayRetry::Moved);
--- a/src/gateway/requests/waiting.cpp
+++ b/src/gateway/requests/waiting.cpp
@@ -1,5 +1,5 @@
-// Requests that wait until an endpoint has room: who is sent next, to how full an engine, and who is refused
-// since it can't be served in its time.
+// Queue of requests that wait for a free slot: which request is sent next, how much prefill an engine may
+// have queued to get it, and which requests are refused since they cannot meet their deadline.
 
 #include "gateway/gateway.h"
 
@@ -9,27 +9,29 @@
 
 namespace {
 
-/// Refused callers don't come back together.
+/// Jitter of the Retry-After time, so that refused callers don't all return at once.
 constexpr uint64_t RetryAfterSpreadMs = 400;
-/// Requests whose target isn't the shortest of their service leave an engine alone while what waits there
-/// takes more than this part of the shortest target, so that the others find room in it. In a load test with
-/// half as much again as engines can read, a fourth kept 1,478 of 1,547 chats and 218 of 691 long requests in
-/// time, a half 1,367 and 322.
+/// A request whose latency target isn't the shortest of its service is not sent to an engine whose queued
+/// prefill takes longer than this part (1/3) of the shortest target, which leaves capacity for requests with
+/// the shortest target. In a load test with 1.5 times the prefill load that the engines can process, 1/4 kept
+/// 1,478 of 1,547 chats and 218 of 691 long requests within their targets, 1/2 kept 1,367 and 322.
 constexpr int64_t WaitDivisor = 3;
-/// Requests that are late anyway go to engines that have little to read. In that test 150 ms left 193 long
-/// requests in time, 100 ms 231; with 30 ms those too large to be in time at all wait for an idle engine.
+/// Maximum queued prefill of an engine that gets a request past its latency target. In the same test 150 ms
+/// kept 193 long requests within their target, 100 ms kept 231; with 30 ms, requests that are too large to
+/// meet their target at all would wait for an idle engine.
 constexpr double MostWaitOfLateMs = 100;
-/// A request that is late anyway is refused when it has waited for this part of its caller's time: what is
-/// left is enough to come back, and the caller is not kept for an answer that may not come.
+/// A request past its latency target is refused when it has waited this part (1/8) of its caller's time
+/// beyond the target. The caller has enough time left to retry, instead of waiting for a response that may
+/// not come.
 constexpr int64_t LateWaitDivisor = 8;
-/// Of the requests that wait for one service, so many are tried in vain at a time: the first ones may wait
-/// for the engine that holds their shared part, while others have room.
+/// Failed placements per service and pass of the queue. More than one is tried, since the first requests may
+/// wait for the engine that caches their shared prompt part while other engines have capacity.
 constexpr size_t MostTriesInVain = 16;
 
 } // namespace
 
-// Sends at once, or queues where all endpoints are busy, or gives up where there is none, or where the queue
-// is too long for the time that the caller has.
+// Sends the request at once, or queues it if all endpoints are busy. Gives up if there is no endpoint, or if
+// the expected wait exceeds the caller's deadline.
 void Gateway::dispatch(Exchange &exchange, TimeMs now)
 {
     const ServedService *service = exchange.configuration->findService(exchange.service);
@@ -56,9 +58,10 @@
         {{"queue", queue_.size()}, {"in_time_for_ms", (exchange.inTimeUntil - now).count}});
 }
 
-// All daemons see an engine's room at about the same time. Those whose requests are late anyway would fill it
-// together for a second and more, and what comes next would be late, too: each takes no more than its part of
-// the engines' time for them.
+// Tries to place and send the request. All daemons see an engine's free capacity at about the same time. If
+// they filled it together with requests past their latency target, the engine would be busy for a second or
+// more, and the next requests would miss their targets, too. Each daemon therefore uses only its share of the
+// engines' time for late requests.
 std::optional<PlacementProblem> Gateway::trySend(Exchange &exchange, TimeMs now)
 {
     PlacementQuestion question = questionOf(exchange);
@@ -78,8 +81,8 @@
     return std::nullopt;
 }
 
-// One that a limited endpoint would have suited best asks for a share of it, for itself if it waits, or for
-// the next one like it.
+// Selects an endpoint. If a rate-limited endpoint would have been the best choice, this daemon requests a
+// share of its limit, for this request if it waits, or else for the next similar one.
 PlacementResult Gateway::place(Exchange &exchange, PlacementQuestion &question, TimeMs now)
 {
     PlacementResult result = placeByVersion(exchange, question, now);
@@ -90,7 +93,7 @@
     return result;
 }
 
-// What may wait to be read at an engine that is to get this request, too.
+// Returns the maximum queued prefill, in ms, of an engine that may get this request.
 double Gateway::mostWaitMs(const Exchange &exchange, TimeMs now) const
 {
     const DurationMs shortest = exchange.configuration->shortestTarget(exchange.service);
@@ -112,8 +115,8 @@
             static_cast<int64_t>(peers_.sharers(now))};
 }
 
-// Until a place is free for one more request of this priority: those that wait before it, and it, at the pace
-// at which the service's places come free.
+// Returns the expected time until a slot is free for one more request of this priority: the number of
+// requests ahead of it and itself, times the interval at which the service's slots become free.
 DurationMs Gateway::expectedWait(const Exchange &exchange, TimeMs now) const
 {
     const auto mean = answerMs_.find(exchange.service);
@@ -125,7 +128,7 @@
         const Exchange &other = exchanges_.at(id);
         ahead += other.service == exchange.service && other.priority <= exchange.priority ? 1 : 0;
     }
-    // The other daemons' callers wait for the same places.
+    // The other daemons' callers wait for the same slots.
     const double shared = static_cast<double>(ahead * peers_.sharers(now));
     return {static_cast<int64_t>(mean->second * shared / places)};
 }
@@ -141,7 +144,7 @@
     return queue;
 }
 
-// The daemons' queues drain side by side, each by its part of all that wait.
+// The daemons' queues drain in parallel, each in proportion to its part of all waiting requests.
 DurationMs Gateway::LimitedQueue::waitAt(size_t position) const
 {
     if (!limit)
@@ -165,16 +168,17 @@
     return now + expectedWait(exchange, now) > std::min(exchange.callerWaitsUntil, exchange.timeoutAt);
 }
 
-// Those first who can still be in time. One that can't be placed does not hold up those behind it: they may
-// be for other services or other engines. One that is late is refused when it has waited for long, or could
-// not be served in its time even if the engines did nothing but what waits before it.
+// Sends queued requests, those first that can still meet their latency target. A request that can't be placed
+// does not block those behind it, which may be for other services or engines. A request past its target is
+// refused when it has waited too long, or could not meet its deadline even if the engines processed nothing
+// but the late requests ahead of it.
 void Gateway::runQueue(TimeMs now)
 {
     if (queue_.empty())
         return;
     std::map<ServiceName, size_t> inVain;
     std::map<ServiceName, DurationMs> lateAhead;
-    std::map<ServiceName, ReadingPace> paces; // Of services for which late requests wait.
+    std::map<ServiceName, ReadingPace> paces; // Only of services with late requests in the queue.
     std::map<ServiceName, LimitedQueue> limited;
     for (CallerId id : queue_.inOrder(now)) {
         const auto found = exchanges_.find(id);
@@ -198,7 +202,7 @@
             const TimeMs end = std::min(exchange.callerWaitsUntil, exchange.timeoutAt);
             const DurationMs patience = (end - exchange.arrivedAt) / LateWaitDivisor;
             if (now > exchange.inTimeUntil + patience || now + drained > end) {
-                ahead = before; // Those behind it don't wait for one that is refused.
+                ahead = before; // A refused request does not delay those behind it.
                 giveUp(exchange, GatewayRefusal::Overloaded, now, drained);
                 continue;
             }
