--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -22,35 +22,36 @@
 
 namespace cranberry {
 
-/// What the gateway needs of the deployment's settings.
+/// The deployment settings that the gateway uses.
 struct GatewaySettings {
     InstanceName instance;
     Incarnation incarnation;
     FailureDomainName failureDomain;
-    DurationMs revokeBound{5000}; ///< A removed key is dead everywhere after this.
-    DurationMs configurationBound{2000}; ///< A configuration is in force everywhere after this.
+    DurationMs revokeBound{5000}; ///< A removed key is rejected everywhere after this time.
+    DurationMs configurationBound{2000}; ///< A configuration is in force everywhere after this time.
     RepeatLimits repeats;
     QuotaTolerance quotaTolerance;
     DurationMs usageWindow{5000};
-    DurationMs drainTime{2000}; ///< A leaving endpoint serves on for so long at least.
+    DurationMs drainTime{2000}; ///< Minimum time for which a leaving endpoint continues to serve.
     uint64_t seed = 1;
 };
 
 /// Serves callers' requests at the endpoints of the configuration in force.
 ///
-/// No sockets, no threads, no clock: each call gets the time and leaves its actions in `takeActions()`.
+/// Uses no sockets, threads or clock: each call is passed the time, and `takeActions()` returns the resulting
+/// actions.
 class Gateway
 {
 public:
     Gateway(const GatewaySettings &settings, DecisionLog &log);
-    /// Takes over changed bounds and tolerances; identity and window stay as they were at the start.
+    /// Applies changed bounds and tolerances. Identity and usage window keep their values from the start.
     void applyBounds(const GatewaySettings &settings);
 
-    // Callers.
+    // Events of callers.
     void onRequest(const RequestArrived &event, TimeMs now);
     void onCallerGone(const RequestCallerGone &event, TimeMs now);
 
-    // Endpoints.
+    // Events of endpoints.
     void onHead(const AttemptHead &event, TimeMs now);
     void onData(const AttemptData &event, TimeMs now);
     void onEnd(const AttemptEnd &event, TimeMs now);
@@ -58,7 +59,7 @@
     void onRunMoved(const RunMoved &event, TimeMs now);
     void onEngineProbed(const EngineProbed &event, TimeMs now);
 
-    // The store and the other daemons (sharedview.cpp).
+    // Data from the store and the other daemons (sharedview.cpp).
     void onConfiguration(const ConfigurationRead &event, TimeMs now);
     void onEndpoints(const EndpointsRead &event, TimeMs now);
     void onRollouts(const RolloutsRead &read, TimeMs now);
@@ -73,35 +74,38 @@
     void onLimitAsk(const LimitAsk &ask, const Address &from, TimeMs now);
     void onLimitGrant(const LimitGrant &grant, TimeMs now);
     void onQuarantine(const std::vector<QuarantinedRequest> &list, VerdictSource source, TimeMs now);
-    /// The requests that are kept from endpoints, for the store and the daemons that ask.
+    /// Returns the quarantined requests, for the store and for daemons that query them.
     const std::vector<QuarantinedRequest> &quarantine(TimeMs now);
 
     void tick(TimeMs now);
-    /// The process was told to stop, and ends at `endsAt` at the latest.
+    /// The process was asked to stop, and exits at `endsAt` at the latest.
     void startLeaving(TimeMs now, TimeMs endsAt);
 
     std::vector<GatewayAction> takeActions() { return std::exchange(actions_, {}); }
 
-    /// Takes requests: has a configuration that was confirmed lately, and does not leave.
+    /// Returns whether it takes requests: its configuration was confirmed recently and it is not leaving.
     bool isReady(TimeMs now) const;
     bool isIdle() const { return exchanges_.empty(); }
-    /// What is told to the other daemons; the caller fills in its time of day, its use of
-    /// the processor, and whether it can read the store.
+    /// Returns the report for the other daemons. The caller fills in the wall-clock time, the CPU usage, and
+    /// whether it can read the store.
     PeerReport report(bool whole, TimeMs now);
-    /// Demand on each service's engines, of all daemons that are heard.
+    /// Returns the demand on each service's engines, summed over all daemons whose reports are received.
     std::map<ServiceName, ServiceDemand> demand(TimeMs now) const;
     struct EntryAnswer {
         std::vector<Address> addresses;
-        bool told = false; ///< By another daemon: it is not to be passed on, or it would never grow old.
+        bool told
+            = false; ///< Received from another daemon. It must not be forwarded, or it would never expire.
     };
-    /// What the duties' holder needs to take roll-outs on: of each service that has an order or a record.
+    /// Returns what the leader needs to advance roll-outs, for each service that has a roll-out order or
+    /// record.
     std::map<ServiceName, RolloutFacts> rolloutFacts(TimeMs now) const;
     const RolloutView &rollouts() const { return rollouts_; }
-    /// Where callers are to connect. `own`: this daemon, if it is ready.
+    /// Returns the addresses that callers shall connect to. `own`: this daemon, if it is ready.
     EntryAnswer callerAddresses(const EntryCandidate &own, double ownCoresUsed, TimeMs now);
-    /// Whether this daemon serves, by the answers given so far.
+    /// Returns whether this daemon serves, according to the entry answers given so far.
     bool serves() const { return servingRole_.serves(); }
-    /// Others wait for its reports: it serves, has work, or has counts of a window that is not reported yet.
+    /// Returns whether other daemons need its reports: it serves, has requests, or has counts of a window
+    /// that is not reported yet.
     bool hasNews(TimeMs now) const;
 
     const GatewayCounters &counters() const { return counters_; }
@@ -111,14 +115,14 @@
     ServingConfigurationPtr configuration() const { return configuration_; }
 
 private:
-    /// Answers that the gateway makes itself.
+    /// A response that the gateway generates itself.
     struct OwnAnswer {
         int status = 503;
         GatewayRefusal reason = GatewayRefusal::Overloaded;
-        DurationMs retryAfter{0}; ///< 0: none is sent.
+        DurationMs retryAfter{0}; ///< 0: no Retry-After header is sent.
     };
 
-    // Judging a request: once when it is read, again when it leaves the queue.
+    // Checks of a request, when it is read and again when it leaves the queue.
     std::optional<OwnAnswer> judge(Exchange &exchange, TimeMs now) const;
     std::optional<OwnAnswer> judgeKey(Exchange &exchange, bool certain, TimeMs now) const;
     bool isFresh(TimeMs now, DurationMs bound) const;
@@ -142,39 +146,39 @@
     QuotaRole quotaRole(const OrganisationName &organisation, TimeMs now) const;
     ServiceName pickService(const Exchange &exchange) const;
 
-    // Waiting for room at an endpoint (waiting.cpp).
+    // Waiting for a free slot at an endpoint (waiting.cpp).
 
-    /// How fast a service's engines read. Found out once for all requests that wait for it: the endpoints are
-    /// counted for that.
+    /// Prefill rate of a service's engines. Computed once per pass of the queue for all its waiting requests,
+    /// since it requires counting the endpoints.
     struct ReadingPace {
         ReadingSpeed speed;
         int64_t engines = 1;
         int64_t daemons = 1;
 
-        /// Until an engine that begins with it at once has sent its first event. Shared parts are taken for
-        /// cached.
+        /// Returns the time until an idle engine sends the request's first event. Shared prompt parts are
+        /// assumed to be cached.
         DurationMs readingTime(const CallerRequest &request) const;
-        /// In which all engines together do so much reading for each daemon.
+        /// Returns the time in which all engines together process this much prefill for each daemon.
         DurationMs drainTime(DurationMs reading) const { return reading * daemons / engines; }
     };
     void dispatch(Exchange &exchange, TimeMs now);
-    /// Sends the request, or says why it can't be sent now.
+    /// Sends the request, or returns why it can't be sent now.
     std::optional<PlacementProblem> trySend(Exchange &exchange, TimeMs now);
     void runQueue(TimeMs now);
     double mostWaitMs(const Exchange &exchange, TimeMs now) const;
     ReadingPace readingPace(const ServiceName &service, TimeMs now) const;
     DurationMs expectedWait(const Exchange &exchange, TimeMs now) const;
-    /// Requests that wait here for endpoints that all name limits.
+    /// This daemon's waiting requests for a service whose endpoints all state limits.
     struct LimitedQueue {
-        std::optional<ServiceLimit> limit; ///< Empty: not all do.
-        size_t own = 0;
-        size_t position = 0; ///< Reached in a walk through the queue.
+        std::optional<ServiceLimit> limit; ///< Empty: not all endpoints state a limit.
+        size_t own = 0; ///< Requests that wait at this daemon.
+        size_t position = 0; ///< Position reached while the queue is traversed.
 
-        /// Until the request at that position, from 1 on, is at the head of all that wait.
+        /// Returns the time until the request at this position (from 1) is sent.
         DurationMs waitAt(size_t position) const;
     };
     LimitedQueue limitedQueue(const ServiceName &service, TimeMs now) const;
-    /// Refuses a request that these endpoints can't take in its time. True if it did.
+    /// Refuses the request if its wait exceeds its deadline. Returns whether it was refused.
     bool refuseBeyondLimit(Exchange &exchange, DurationMs wait, TimeMs now);
     bool isHopeless(const Exchange &exchange, TimeMs now) const;
     DurationMs retryAfter(DurationMs least);
@@ -191,11 +195,11 @@
         RolloutStage stage = RolloutStage::Starting;
         VersionJudge judge;
         bool isSuspected = false;
-        uint32_t loadSent = 0; ///< By this daemon.
+        uint32_t loadSent = 0; ///< Load requests that this daemon sent.
     };
-    int64_t wallAt(TimeMs now) const; ///< True time: Unix milliseconds.
+    int64_t wallAt(TimeMs now) const; ///< Wall-clock time in Unix milliseconds.
     void noteVersions(const EndpointsRead &read);
-    /// Chooses an endpoint of a version that the request may go to.
+    /// Selects an endpoint of a version that the request may be sent to.
     PlacementResult place(Exchange &exchange, PlacementQuestion &question, TimeMs now);
     PlacementResult placeByVersion(Exchange &exchange, PlacementQuestion &question, TimeMs now);
     PlacementResult placeAtTarget(const RolloutView::Rule &rule, PlacementQuestion question,
@@ -207,7 +211,7 @@
                  TimeMs now) const;
     void noteAnswers(const Exchange &exchange, const FleetEndpoint &endpoint, bool bad);
     bool isOnTrial(const FleetEndpoint &endpoint) const;
-    uint32_t groupOf(const FleetEndpoint &endpoint) const; ///< In the counts of a trial.
+    uint32_t groupOf(const FleetEndpoint &endpoint) const; ///< Index in the counts of a trial.
     void noteStep(const Exchange &exchange, UsualTimes::Step step, double time, double least);
     double expectedFirstEventMs(const Exchange &exchange, const PlacementChoice &choice) const;
     static double firstEventTimes(const Exchange &exchange, TimeMs now);
@@ -220,13 +224,13 @@
     void noteOverdue(TimeMs now);
     void tickTrials(TimeMs now);
 
-    // Ends of attempts (attempts.cpp).
+    // Outcomes of attempts (attempts.cpp).
     void detach(Exchange &exchange);
     void cancelAttempt(Exchange &exchange);
     bool mayRepeat(const Exchange &exchange) const;
     double slackShare(TimeMs now) const;
     bool repeat(Exchange &exchange, GatewayRetry reason, TimeMs now);
-    /// Ends an attempt whose rest is of no use; what was sent may have run.
+    /// Cancels an attempt and treats it as failed; the endpoint may already have run the request.
     void cancelBroken(AttemptId attempt, TimeMs now);
     void onRejected(Exchange &exchange, TimeMs now);
     void passWholeAnswer(Exchange &exchange, TimeMs now);
@@ -237,9 +241,9 @@
     void leaveSilentEndpoints(TimeMs now);
     bool canGoOnElsewhere(Exchange &exchange, TimeMs now);
 
-    // Endpoints that end under their requests (endpointcrashes.cpp).
+    // Endpoints that exit while they process requests (endpointends.cpp).
 
-    /// True if the request is to go on only when the endpoint has answered.
+    /// Returns true if the request has to wait for the result of a probe of the endpoint.
     bool noteBroken(const Exchange &exchange, TimeMs now);
     void onProcessKnown(const EngineProbed &event, TimeMs now);
     void noteEnd(const EndpointQuestions::Answered &question, TimeMs now);
@@ -252,7 +256,7 @@
     void tellNewServing(TimeMs now);
     void tell(const std::vector<const MemberEntry *> &members, const CrashNotice &notice);
 
-    // Endpoints that take only so many requests a second (endpointlimits.cpp).
+    // Endpoints with a limited request rate (endpointlimits.cpp).
     void noteLimit(const Exchange &exchange, TimeMs now);
     void tickEndpointLimits(TimeMs now);
     void findCoordinators(const std::vector<FleetEndpoint *> &limited, TimeMs now);
@@ -264,12 +268,12 @@
     void tell(const std::vector<const MemberEntry *> &members, const std::vector<LimitWord> &words);
     static boost::json::object limitFields(const FleetEndpoint &endpoint, TimeMs now);
 
-    // Runs on leaving engines (migrations.cpp).
+    // Generations on leaving engines (migrations.cpp).
     void probeEngines(TimeMs now);
     void moveRunsAway(TimeMs now);
     bool isTooLateToStart(const Exchange &exchange, TimeMs now) const;
     bool isWorthMoving(const Exchange &exchange, TimeMs now) const;
-    /// When the endpoint ends or is to be empty, as far as that is known.
+    /// Returns when the endpoint exits or has to be empty, as far as that is known.
     std::optional<TimeMs> emptyBy(const FleetEndpoint &endpoint, TimeMs now) const;
     void startMove(Exchange &exchange, TimeMs now);
     void goOnAtTarget(Exchange &exchange, TimeMs now);
@@ -277,9 +281,9 @@
     void streamBroke(Exchange &exchange, TimeMs now);
     void noteStarted(Exchange &exchange, TimeMs at);
 
-    // Ends of exchanges.
+    // Final responses.
     void answer(Exchange &exchange, const OwnAnswer &own, TimeMs now);
-    /// `comeBackAfter`: when there may be room, as far as that is known.
+    /// `capacityAfter`: time until capacity is expected, as far as that is known.
     void giveUp(Exchange &exchange, GatewayRefusal reason, TimeMs now, DurationMs comeBackAfter = {0});
     void timeOut(Exchange &exchange, TimeMs now);
     void finish(Exchange &exchange);
@@ -293,10 +297,10 @@
     GatewayCounters counters_;
 
     ServingConfigurationPtr configuration_;
-    TimeMs startedAt_; ///< When its first configuration came.
-    TimeMs confirmedAt_; ///< The configuration was the newest at or after this time.
+    TimeMs startedAt_; ///< Time at which the first configuration was read.
+    TimeMs confirmedAt_; ///< The configuration was known to be the newest at or after this time.
     std::optional<TimeMs> leavingSince_;
-    TimeMs endsAt_; ///< With `leavingSince_`.
+    TimeMs endsAt_; ///< Valid if `leavingSince_` is set.
 
     EndpointFleet fleet_;
     PeerTable peers_;
@@ -313,22 +317,24 @@
     TrialCounts trialCounts_;
     UsualTimes usualTimes_;
     std::map<ServiceName, Trial> trials_;
-    TimeMs trialsAt_; ///< Next look.
-    TimeMs coordinatorsAt_; ///< Next look at who shares out what limited endpoints take.
+    TimeMs trialsAt_; ///< Next check of the trials.
+    TimeMs coordinatorsAt_; ///< Next search for the coordinators of limited endpoints.
     TimeMs askRoundAt_;
     uint64_t askRound_ = 0;
-    std::map<EndpointLife, Address> coordinators_; ///< Other daemons that do.
-    std::map<ServiceName, double> answerMs_; ///< Moving mean of a whole answer's time at a service.
-    std::map<uint64_t, CallerId> limitAsks_; ///< Open questions for units, with who waits.
-    std::set<std::tuple<Incarnation, bool, uint64_t>> giftsTaken_; ///< Giver, deposit or not, number.
+    std::map<EndpointLife, Address> coordinators_; ///< Other daemons that coordinate a limit.
+    std::map<ServiceName, double> answerMs_; ///< Moving mean of the response time per service.
+    std::map<uint64_t, CallerId> limitAsks_; ///< Open requests for units, with the waiting caller.
+    std::set<std::tuple<Incarnation, bool, uint64_t>>
+        giftsTaken_; ///< Sender, whether it is a deposit, number.
     uint64_t nextAsk_ = 1;
-    std::vector<CallerId> awaitingStart_; ///< Came before the first reads of the store, in order.
+    std::vector<CallerId> awaitingStart_; ///< Arrived before the first reads of the store, in order.
     AdmissionQueue queue_;
-    std::map<ServiceName, TimeMs> lateAt_; ///< Requests that are late anyway are not sent before.
+    std::map<ServiceName, TimeMs> lateAt_; ///< Requests past their latency target are not sent before.
     uint64_t nextAttempt_ = 1;
     uint64_t reports_ = 0;
-    size_t entryCount_ = 0; ///< Of the newest entry answer.
-    std::vector<Address> toldEntries_; ///< By another daemon, which hears those that serve.
+    size_t entryCount_ = 0; ///< Number of addresses in the newest entry answer.
+    std::vector<Address>
+        toldEntries_; ///< Received from a daemon that gets the reports of the serving daemons.
     TimeMs toldEntriesAt_;
     ServingRole servingRole_;
     TimeMs depositedAt_;
--- a/src/gateway/gatewayevents.h
+++ b/src/gateway/gatewayevents.h
@@ -10,45 +10,46 @@
 
 namespace cranberry {
 
-/// Names an endpoint. One that starts again may keep its name.
+/// Name of an endpoint. A restarted endpoint may keep its name.
 using EndpointId = Name<struct EndpointIdTag>;
 
-/// When an endpoint's process started, by its own word: Unix milliseconds. 0: not stated. Only compared with
-/// others of the same endpoint, never with our clock.
+/// Start time of an endpoint's process as the endpoint states it, in Unix milliseconds. 0: not stated. It is
+/// only compared with other start times of the same endpoint, never with the local clock.
 struct EndpointStart {
     int64_t unixMs = 0;
     friend constexpr std::strong_ordering operator<=>(EndpointStart, EndpointStart) = default;
 };
 
-/// One life of an endpoint, from a start to its end. The next one knows nothing of what was before.
+/// One incarnation of an endpoint, from the start of its process to its exit. No state survives into the
+/// next.
 struct EndpointLife {
     EndpointId id;
     EndpointStart start;
     friend std::strong_ordering operator<=>(const EndpointLife &, const EndpointLife &) = default;
 };
 
-/// What the list of endpoints says of one.
+/// An entry of the endpoint list.
 struct EndpointEntry {
     EndpointId id;
     EndpointStart start;
-    bool readable = true; ///< False: somebody wrote an entry that can't be read; only `id` is known.
+    bool readable = true; ///< False: the entry in the store can't be parsed; only `id` is known.
     ServiceName service;
     Address address;
     FailureDomainName failureDomain;
     SoftwareVersion version;
     uint32_t slots = 1;
     bool leaving = false;
-    bool reclaimable = false; ///< Cheaper, and its whole failure domain may be taken back.
-    std::optional<DurationMs> leavesAfter; ///< Known for reclaimed ones.
+    bool reclaimable = false; ///< Cheaper, but its whole failure domain may be reclaimed.
+    std::optional<DurationMs> leavesAfter; ///< Time until it exits; known for reclaimed endpoints.
 };
 
-/// Requests a second.
+/// A rate in requests per second.
 struct RequestRate {
     double perSecond = 0;
     friend constexpr std::partial_ordering operator<=>(RequestRate, RequestRate) = default;
 };
 
-// ---- Into the gateway ----
+// ---- Inputs of the gateway ----
 
 struct RequestArrived {
     CallerId caller;
@@ -59,17 +60,17 @@
     CallerId caller;
 };
 
-/// Status line and headers of an endpoint's answer.
+/// Status line and headers of an endpoint's response.
 struct AttemptHead {
     AttemptId attempt;
     int status = 0;
-    HttpHeaders headers; ///< Those that the caller gets too.
+    HttpHeaders headers; ///< Headers that are forwarded to the caller.
     bool notExecuted = false; ///< The endpoint states that it did not run the request.
-    bool wrongInstance = false; ///< Another endpoint lives at that address.
-    bool ownAnswer = true; ///< Carries the id of this very request.
+    bool wrongInstance = false; ///< Another endpoint runs at that address.
+    bool ownAnswer = true; ///< The response carries the id of this request.
     bool eventStream = false;
-    std::optional<RequestRate> limit; ///< The endpoint takes no more from all daemons together.
-    std::optional<FieldError> limitError; ///< It states a limit that can't be read.
+    std::optional<RequestRate> limit; ///< Maximum rate that the endpoint accepts from all daemons together.
+    std::optional<FieldError> limitError; ///< The stated limit can't be parsed.
 };
 
 struct AttemptData {
@@ -77,197 +78,201 @@
     std::string bytes;
 };
 
-struct AttemptEnd { ///< The answer is whole, as far as its framing tells.
+struct AttemptEnd { ///< The response is complete according to its HTTP framing.
     AttemptId attempt;
 };
 
-/// What came of an order to move a run's memory to another engine.
+/// Outcome of a request to migrate a generation's KV cache to another engine.
 enum class MoveOutcome : uint8_t {
-    Moved, ///< The run has stopped, its memory is at the target.
-    NoSuchRun, ///< It has not begun, or is over.
-    NoRoom, ///< It has stopped, its memory is still where it was.
-    Refused, ///< Another move is under way.
+    Moved, ///< The generation has stopped, its KV cache is at the target.
+    NoSuchRun, ///< The generation has not started or is complete.
+    NoRoom, ///< The generation has stopped, its KV cache is still at the source.
+    Refused, ///< Another migration is in progress.
     NoReply
 };
 
 struct RunMoved {
-    AttemptId attempt; ///< Of the run that was to be moved.
+    AttemptId attempt; ///< Attempt whose generation was to be migrated.
     MoveOutcome outcome = MoveOutcome::NoReply;
-    std::string handle; ///< Names the memory, once.
+    std::string handle; ///< Identifies the KV cache at the target; valid once.
 };
 
-/// Whether an endpoint's process was there when it was asked.
+/// Result of a probe of an endpoint's process.
 enum class EndpointProcess : uint8_t {
-    Unknown, ///< No reply: it may be cut off, frozen or without power.
-    Runs, ///< It answered, whatever it said.
-    Ended ///< Its instance is up and says that nobody listens there.
+    Unknown, ///< No reply: the endpoint may be unreachable, frozen or without power.
+    Runs, ///< It replied, whatever the reply was.
+    Ended ///< The instance is up and refuses the connection: no process listens there.
 };
 
-/// What an engine says of itself.
+/// An engine's report of its own state, or a failed probe.
 struct EngineProbed {
     EndpointId endpoint;
     EndpointStart start;
-    bool answered = false; ///< With a readable report; the fields around are of it.
+    bool answered = false; ///< A valid report was received; the other fields are from it.
     bool leaving = false;
     std::optional<DurationMs> leavesAfter;
     EndpointProcess process = EndpointProcess::Unknown;
-    bool afterBreak = false; ///< As asked.
+    bool afterBreak = false; ///< Copied from the ProbeEngine action.
 };
 
 struct AttemptBroken {
     AttemptId attempt;
-    bool sent = true; ///< False: no byte left this process.
+    bool sent = true; ///< False: no byte of the request was sent.
 };
 
-/// An endpoint that ended while it had a request.
+/// An endpoint that exited while it processed a request.
 struct EndpointLoss {
     RequestDigest request;
     EndpointLife endpoint;
-    bool ranWell = false; ///< It had brought events for a while.
+    bool ranWell = false; ///< It had streamed events for a while before.
 };
 
-/// A request that is to be sent to no endpoint, as the store has it and as daemons that ask are told.
+/// A request that is sent to no endpoint, as stored and as sent to daemons that query it.
 struct QuarantinedRequest {
     RequestDigest request;
-    int64_t untilWallMs = 0; ///< True time: Unix milliseconds.
+    int64_t untilWallMs = 0; ///< Wall-clock time in Unix milliseconds.
 
     friend bool operator==(const QuarantinedRequest &, const QuarantinedRequest &) = default;
 };
 
-/// What a daemon tells the others that serve: endpoints that ended under its requests, those of them that
-/// were answered since, and what it keeps from endpoints. A lost one costs another endpoint at most.
+/// Sent by a daemon to the other serving daemons: endpoints that exited while they processed its requests,
+/// those of the requests that were answered since, and requests in quarantine. If a notice is lost, at most
+/// one more endpoint crashes.
 struct CrashNotice {
     std::vector<EndpointLoss> losses;
     std::vector<RequestDigest> answered;
     std::vector<QuarantinedRequest> quarantined;
 };
 
-/// What an endpoint said of how many requests it takes from all daemons together.
+/// The request rate that an endpoint stated to accept from all daemons together.
 struct LimitWord {
     EndpointLife endpoint;
-    std::optional<RequestRate> limit; ///< Empty: none any more.
-    uint32_t clears = 0; ///< Answers in a row since then that named none.
-    DurationMs age; ///< Since it was heard.
-    DurationMs standing; ///< Since it first named a limit.
+    std::optional<RequestRate> limit; ///< Empty: no longer limited.
+    uint32_t clears = 0; ///< Consecutive responses since then that stated no limit.
+    DurationMs age; ///< Time since the limit was received.
+    DurationMs standing; ///< Time since the endpoint first stated a limit.
 };
 
-/// What a daemon tells the others that serve of such words.
+/// Limit updates that a daemon sends to the other serving daemons.
 struct LimitNotice {
     std::vector<LimitWord> words;
 };
 
-/// "So many of my requests could go to this endpoint." To the daemon that shares out what it takes.
+/// Request for a share of an endpoint's limit, sent to the daemon that coordinates this limit. States how
+/// many of the sender's requests wait for the endpoint.
 struct LimitAsk {
     EndpointLife endpoint;
     uint64_t number = 0;
     uint32_t waiting = 0;
 };
 
-/// "Send so many there, soon." Taken once; a lost one is lost to the endpoint.
+/// Permission to send a number of requests to the endpoint soon. Applied once; if a grant is lost, the
+/// endpoint gets these requests later or not at all.
 struct LimitGrant {
     EndpointLife endpoint;
     Incarnation from;
-    uint64_t ask = 0; ///< Number of the question.
-    uint64_t number = 0; ///< Rises with each grant of its sender.
+    uint64_t ask = 0; ///< Number of the LimitShareRequest.
+    uint64_t number = 0; ///< Increases with each grant of the sender.
     uint32_t requests = 0;
-    uint32_t waiting = 0; ///< At all daemons.
+    uint32_t waiting = 0; ///< Requests that wait at all daemons.
 };
 
-/// The store's configuration, new or the same as before.
+/// The configuration as read from the store, changed or not.
 struct ConfigurationRead {
     ServingConfigurationPtr configuration;
-    TimeMs askedAt; ///< It was so in the store at or after this time.
+    TimeMs askedAt; ///< Start of the read: the store held this at or after this time.
 };
 
 struct EndpointsRead {
-    std::vector<EndpointEntry> entries; ///< All there are.
+    std::vector<EndpointEntry> entries; ///< The complete list.
     TimeMs askedAt;
-    uint64_t era = 0; ///< Of the store; a higher one came back from an older copy.
+    uint64_t era = 0; ///< Era of the store; it increases when the store is restored from an older copy.
 };
 
-/// What is known of roll-outs, new or the same as before.
+/// The roll-outs as read from the store, changed or not.
 struct RolloutsRead {
     RolloutsKnown known;
     TimeMs askedAt;
 };
 
-/// A peer's load of one endpoint.
+/// The load that a peer has at one endpoint.
 struct EndpointLoad {
     EndpointLife life;
     uint32_t running = 0;
-    uint64_t prefillTokens = 0; ///< Of requests without a first event yet.
+    uint64_t prefillTokens = 0; ///< Tokens of requests without a first event yet.
 };
 
-/// What a daemon can spare of one organisation's limit.
+/// Units of one organisation's limit that a daemon can spare.
 struct OrganisationBalance {
     OrganisationName organisation;
     double spare = 0;
 };
 
-/// "Give me units of this limit." Lost ones cost a caller a refusal, nothing else.
+/// Request for units of an organisation's limit. If it is lost, a caller may be refused.
 struct QuotaAsk {
     uint64_t number = 0;
     OrganisationName organisation;
     double units = 0;
 };
 
-/// Units that the sender has taken from its own balance. Taken once; a lost one is lost to the limit.
+/// Units that the sender has taken from its own balance. Applied once; the units of a lost transfer can't be
+/// used.
 struct QuotaGift {
     Incarnation from;
-    uint64_t number = 0; ///< Of the question, or of a deposit.
+    uint64_t number = 0; ///< Number of the QuotaRequest, or of a deposit.
     OrganisationName organisation;
     double units = 0;
-    bool deposit = false; ///< Not asked for: the receiver keeps it for all.
+    bool deposit = false; ///< Not requested: the receiver keeps the units for all daemons.
 };
 
-/// Requests of one organisation that began to run in one window.
+/// Number of requests of one organisation that started in one window.
 struct WindowCount {
     int64_t window = 0;
     OrganisationName organisation;
     uint64_t count = 0;
 };
 
-/// How long first events took, as sums over requests that found no queue: a straight line can be laid through
-/// them. Older ones fade.
+/// Sums for a linear regression of the time to the first event over the number of prefill tokens, over
+/// requests that found no queue. Older requests decay.
 struct ReadingSums {
     double count = 0;
-    double tokens = 0; ///< That had to be read.
+    double tokens = 0; ///< Prefill tokens.
     double ms = 0;
     double tokensSquared = 0;
-    double tokensMs = 0; ///< Products of both.
+    double tokensMs = 0; ///< Sum of the products of tokens and ms.
 
     void add(const ReadingSums &other);
-    void fade(double part); ///< Leaves `part` of each sum.
+    void fade(double part); ///< Multiplies each sum by `factor`.
 };
 
-/// Demand on one service as one daemon sees it, as moving means. All of it adds up over daemons.
+/// Demand on one service at one daemon, as moving means. The demands of several daemons can be added.
 struct ServiceDemand {
     ServiceName service;
     double prefillTokensPerSecond = 0;
-    double prefillSquaresPerSecond = 0; ///< Of each request's tokens: how uneven they are.
+    double prefillSquaresPerSecond = 0; ///< Sum of squared prefill tokens per request, for the variance.
     double requestsPerSecond = 0;
-    double targetMsPerSecond = 0; ///< Latency targets of these requests.
-    double running = 0; ///< At endpoints, or waiting for one.
+    double targetMsPerSecond = 0; ///< Sum of the latency targets of these requests.
+    double running = 0; ///< Requests at endpoints or waiting for one.
     ReadingSums readings;
 
     void add(const ServiceDemand &other);
 };
 
-/// What a daemon tells the others several times a second. All of it may be lost or doubled without harm.
+/// State that a daemon sends to the others several times a second. Lost and duplicated reports do no harm.
 ///
-/// Windows, demands and trials are needed only about once a second; of the balances,
-/// those that are asked for first are the keepers'. The rest is most of the bytes, so most reports go without
-/// it: they are not `whole`.
+/// Windows, demands and trials are needed only about once a second, and of the balances mainly those of the
+/// quota pool daemons. The rest makes up most of the bytes, so most reports leave it out: they are not
+/// `full`.
 struct PeerReport {
     Incarnation incarnation;
     InstanceName instance;
     bool leaving = false;
     bool ready = false;
-    bool readsStore = true; ///< The store answers its reads, as far as it tries.
-    bool whole = true; ///< With windows, demands and all balances.
+    bool readsStore = true; ///< Its reads of the store succeed, as far as it tries any.
+    bool whole = true; ///< Includes windows, demands and all balances.
     uint64_t sequence = 0;
-    int64_t wallMs = 0; ///< Time of day at the sender.
-    double coresUsed = 0; ///< By the sender's process, moving mean.
+    int64_t wallMs = 0; ///< Wall-clock time of the sender, Unix milliseconds.
+    double coresUsed = 0; ///< CPU cores used by the sender's process, moving mean.
     std::vector<EndpointLoad> loads;
     std::vector<OrganisationBalance> balances;
     std::vector<WindowCount> windows;
@@ -275,91 +280,93 @@
     std::vector<TrialCount> trials;
 };
 
-/// A daemon as the store lists it.
+/// A daemon's entry in the member list of the store.
 struct MemberEntry {
     InstanceName instance;
     Incarnation incarnation;
     FailureDomainName failureDomain;
     Address callerAddress;
     Address peerAddress;
-    double cores = 1; ///< Of its instance, as far as it may use them.
-    /// It says that it takes callers' requests: it tells the others that do so of its load, and holds a part
-    /// of the organisations' limits. The rest stands by.
+    double cores = 1; ///< CPU cores of its instance that it may use.
+    /// The daemon takes callers' requests, reports its load to the other serving daemons, and holds a share
+    /// of the organisations' limits. The other daemons are standby.
     bool serving = false;
 
     friend bool operator==(const MemberEntry &, const MemberEntry &) = default;
 };
 
-/// The key of the duties' holder as it stands in the store.
+/// The leader key of the store.
 struct LeaderEntry {
-    std::string value; ///< Names instance, incarnation and the era in which it was written.
-    uint64_t revision = 0; ///< Of the write that won; 0: there is no holder.
+    std::string value; ///< Contains instance, incarnation and the era in which it was written.
+    uint64_t revision = 0; ///< Revision of the write that won; 0: there is no leader.
     uint64_t lease = 0;
-    uint64_t era = 0; ///< Of the store in which it was seen.
+    uint64_t era = 0; ///< Era of the store when the key was read.
 };
 
-/// "How fresh is what you know of the store?" Asked instead of reading there.
+/// Query for a peer's copy of the store's data and its age, sent instead of reading the store.
 struct FreshnessQuestion {
     Incarnation from;
     uint64_t number = 0;
-    uint64_t era = 0; ///< Of the store, as far as the asker knows.
-    uint64_t endpointsDigest = 0; ///< Of the list that the asker has.
-    uint64_t sharedDigest = 0; ///< Of its configuration, members and leader.
+    uint64_t era = 0; ///< Era of the store as known to the sender.
+    uint64_t endpointsDigest = 0; ///< Digest of the sender's endpoint list.
+    uint64_t sharedDigest = 0; ///< Digest of its configuration, members and leader.
     uint64_t configurationVersion = 0;
-    uint64_t entriesDigest = 0; ///< Of the addresses for callers that it was told.
-    uint64_t quarantineDigest = 0; ///< Of the requests in quarantine that it was told.
-    uint64_t rolloutsDigest = 0; ///< Of the roll-outs that it knows.
+    uint64_t entriesDigest = 0; ///< Digest of the caller addresses that it received.
+    uint64_t quarantineDigest = 0; ///< Digest of the quarantined requests that it received.
+    uint64_t rolloutsDigest = 0; ///< Digest of the roll-outs that it knows.
 };
 
-/// Entries that differ between two versions of the endpoints' list.
+/// Difference between two versions of the endpoint list.
 struct EndpointChanges {
-    std::vector<EndpointEntry> changed; ///< As they are now.
+    std::vector<EndpointEntry> changed; ///< New and changed entries.
     std::vector<EndpointId> gone;
 };
 
-/// The answer. Ages are counted at the answerer when it answers; the asker subtracts them from the time at
-/// which it sent the question, so that no delay on the way makes anything look fresher than it was.
+/// Reply to a FreshnessQuery. Ages are measured at the replying daemon when it replies. The receiver
+/// subtracts them from the time at which it sent the query, so that no network delay makes data look fresher
+/// than it was.
 struct FreshnessAnswer {
     uint64_t number = 0;
-    uint64_t era = 0; ///< Of the store that all of this is of.
-    DurationMs sharedAge; ///< Of the configuration, the members and the leader.
+    uint64_t era = 0; ///< Era of the store that this data is from.
+    DurationMs sharedAge; ///< Age of the configuration, the members and the leader.
     uint64_t sharedDigest = 0;
-    uint64_t configurationVersion = 0; ///< The newest one then; members and leader may differ all the same.
-    /// Members and leader follow: they differ, the configuration does not. Members are those that serve, or
-    /// the strongest while none does.
+    uint64_t configurationVersion
+        = 0; ///< Newest version at that time; members and leader may differ even if it is equal.
+    /// Members and leader are included, since they differ while the configuration does not. Members are the
+    /// serving daemons, or those with the most cores while none serves.
     bool hasMembers = false;
     std::vector<MemberEntry> members;
-    size_t listed = 0; ///< Members in all.
+    size_t listed = 0; ///< Total number of members.
     LeaderEntry leader;
     DurationMs endpointsAge;
     uint64_t endpointsDigest = 0;
-    /// If the asker's list differs: what changed since its version `endpointsBase`, or the whole list, by as
-    /// many answers as it takes.
+    /// If the sender's list differs: the changes since its version `endpointsBase`, or else the full list, in
+    /// as many replies as necessary.
     std::optional<EndpointChanges> endpointChanges;
     uint64_t endpointsBase = 0;
     bool hasEndpoints = false;
-    std::vector<EndpointEntry> endpoints; ///< From `endpointsFrom` on, of `endpointsTotal`.
+    std::vector<EndpointEntry> endpoints; ///< Part of the list, from index `endpointsFrom` on.
     size_t endpointsFrom = 0;
     size_t endpointsTotal = 0;
     uint64_t entriesDigest = 0;
-    bool hasEntries = false; ///< The addresses for callers follow, since the asker's differ.
-    std::vector<Address> entries;
+    bool hasEntries = false; ///< `entries` is included, since the sender's differ.
+    std::vector<Address> entries; ///< Caller addresses.
     uint64_t quarantineDigest = 0;
-    bool hasQuarantine = false; ///< The requests in quarantine follow, since the asker's differ.
+    bool hasQuarantine = false; ///< `quarantine` is included, since the sender's differs.
     std::vector<QuarantinedRequest> quarantine;
     uint64_t rolloutsDigest = 0;
-    std::optional<RolloutsKnown> rollouts; ///< Since the asker's differ.
+    std::optional<RolloutsKnown> rollouts; ///< Included if the sender's differ.
 };
 
-/// What another daemon, which hears those that serve, would tell callers.
+/// Caller addresses as received from another daemon that gets the reports of the serving daemons.
 struct EntriesTold {
     std::vector<Address> addresses;
-    TimeMs askedAt; ///< It was so at or after this time.
+    TimeMs askedAt; ///< Start of the query: the addresses were valid at or after this time.
 };
 
-// ---- Out of the gateway ----
+// ---- Actions of the gateway ----
 
-/// A complete answer of the gateway itself or of an endpoint.
+/// Sends a complete response of the gateway itself or of an endpoint.
 struct AnswerCaller {
     CallerId caller;
     int status = 500;
@@ -383,13 +390,13 @@
     bool whole = false; ///< False: the connection is closed without the end mark.
 };
 
-/// Memory of a stopped run, for the request that goes on from it.
+/// KV cache of a stopped generation, for the attempt that continues it.
 struct RunMemory {
     Address source;
     std::string handle;
 };
 
-/// Stop a run and copy its memory to another engine.
+/// Stops a generation and copies its KV cache to another engine.
 struct MoveRun {
     AttemptId attempt;
     Address source;
@@ -398,34 +405,34 @@
     DurationMs timeout;
 };
 
-/// Ask an engine for its state.
+/// Requests an engine's state.
 struct ProbeEngine {
     EndpointId endpoint;
     Address address;
     DurationMs timeout;
-    /// Since attempts broke there. On a new connection: only that tells an endpoint that ended from a kept
-    /// connection that broke.
+    /// Connections of attempts failed there. The probe then uses a new connection: only that distinguishes an
+    /// endpoint that exited from a broken keep-alive connection.
     bool afterBreak = false;
 };
 
-/// Send a request to an endpoint.
+/// Sends a request to an endpoint.
 struct SendAttempt {
     AttemptId attempt;
     EndpointId endpoint;
     Address address;
     CallerRequestPtr request;
-    DurationMs remaining; ///< What is left of the caller's deadline.
-    OrganisationName organisation; ///< Empty: the route needs no key.
-    std::optional<uint32_t> urgency; ///< 0 (first) to 9, for engines.
+    DurationMs remaining; ///< Time left until the caller's deadline.
+    OrganisationName organisation; ///< Empty: the route requires no key.
+    std::optional<uint32_t> urgency; ///< Priority for engines, 0 (first) to 9.
     std::optional<uint64_t> resumeAfter;
-    std::optional<RunMemory> memory; ///< Go on from here.
+    std::optional<RunMemory> memory; ///< Continue the generation from this KV cache.
 };
 
 struct CancelSent {
     AttemptId attempt;
 };
 
-/// A word to one other daemon.
+/// Sends a message to one other daemon.
 struct TellPeer {
     Address to;
     std::variant<QuotaAsk, QuotaGift, CrashNotice, LimitNotice, LimitAsk, LimitGrant> message;
