--- a/src/gateway/callerrequest.h
+++ b/src/gateway/callerrequest.h
@@ -7,28 +7,29 @@
 
 namespace cranberry {
 
-/// A stretch of a prompt that may stand in an engine's cache. Equal ids mean equal text.
+/// A part of a prompt that an engine may have cached. Equal ids mean equal text.
 struct PromptPart {
     std::string id;
     uint64_t tokens = 0;
 };
 
-/// One try of a caller, as read from its connection; never changed afterwards.
+/// One request as received from a caller; immutable. A caller's retry is a separate CallerRequest.
 struct CallerRequest {
     std::string id;
     std::string method;
     std::string target; ///< Path and query, as received.
     std::string path;
     std::string host;
-    HttpHeaders forwarded; ///< Headers that go on to the endpoint as they are.
+    HttpHeaders forwarded; ///< Headers that are forwarded to the endpoint unchanged.
     std::string body;
-    std::string key; ///< Empty: none was sent.
-    std::optional<DurationMs> deadline; ///< How long the caller waits, from its sending.
+    std::string key; ///< Empty: no key was sent.
+    std::optional<DurationMs> deadline; ///< How long the caller waits from the time it sent the request.
     bool statesTokens = false;
     uint64_t promptTokens = 0;
-    uint64_t outputTokens = 0; ///< At most.
-    std::vector<PromptPart> parts; ///< The last one belongs to this request or its session alone.
-    std::optional<uint64_t> resumeAfter; ///< The last event of a broken stream that the caller has.
+    uint64_t outputTokens = 0; ///< Maximum number of generated tokens.
+    std::vector<PromptPart> parts; ///< The last part is used by this request or its session only.
+    std::optional<uint64_t>
+        resumeAfter; ///< The last event that the caller received of an interrupted stream.
 };
 
 using CallerRequestPtr = std::shared_ptr<const CallerRequest>;
--- a/src/gateway/decisionlog.h
+++ b/src/gateway/decisionlog.h
@@ -5,10 +5,10 @@
 
 namespace cranberry {
 
-/// Ordinary lines may be thinned out under load; the others are kept as long as there is any room.
+/// Ordinary lines may be dropped under load; the others are kept as long as the log has space.
 enum class LogWeight : uint8_t { Ordinary, Failure, State };
 
-/// Takes one structured line for each decision. Must not block.
+/// Receives one structured line for each decision. Must not block.
 class DecisionLog
 {
 public:
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -6,78 +6,78 @@
 namespace cranberry {
 
 enum class ExchangePhase : uint8_t {
-    AwaitingStart, ///< This daemon has not read the store yet.
-    AwaitingLimit, ///< Other daemons are asked for units of its organisation's limit.
-    Queued, ///< Waits for a place at an endpoint.
-    Sent, ///< An attempt is open, the caller has nothing yet.
-    Streaming ///< The caller has the head of the answer.
+    AwaitingStart, ///< Waits for this daemon's first reads of the store.
+    AwaitingLimit, ///< Waits for units of its organisation's limit from other daemons.
+    Queued, ///< Waits for a free slot at an endpoint.
+    Sent, ///< An attempt is open, nothing was sent to the caller yet.
+    Streaming ///< The head of the response was sent to the caller.
 };
 
-/// What an attempt is for, beside its caller, while a version is on trial.
+/// Role of an attempt in the trial of a version.
 enum class TrialRole : uint8_t {
     Ordinary,
-    Fills, ///< It helps to load an endpoint that is not loaded yet; its answer tells nothing of that.
-    Loaded ///< The endpoint has what it is to be tried under.
+    Fills, ///< Brings an endpoint to the trial load; its own response is not evaluated.
+    Loaded ///< The endpoint has the load that the trial requires.
 };
 
-/// A run on its way from an engine that leaves to another one.
+/// Migration of a generation from a leaving engine to another one.
 struct RunMove {
     EndpointLife target;
     Address source;
     TimeMs startedAt;
-    bool sourceClosed = false; ///< The stream has ended there, as it does when the run stops.
-    std::optional<std::string> handle; ///< The memory has arrived.
+    bool sourceClosed = false; ///< The stream has ended at the source, as it does when the generation stops.
+    std::optional<std::string> handle; ///< Set when the KV cache has arrived at the target.
 };
 
-/// One request of a caller, from its arrival to its final answer.
+/// One request of a caller, from its arrival to its final response.
 struct Exchange {
     CallerId caller;
     CallerRequestPtr request;
-    ServingConfigurationPtr configuration; ///< That it was judged by last; keeps `route` alive.
+    ServingConfigurationPtr configuration; ///< Used for the last check of the request; keeps `route` valid.
     const Route *route = nullptr;
     ServiceName service;
     OrganisationName organisation;
     std::string key;
-    RequestDigest digest; ///< Once its organisation is known.
+    RequestDigest digest; ///< Set once its organisation is known.
     uint32_t priority = 0;
-    double quotaUnits = 0; ///< Taken from the organisation's limit.
+    double quotaUnits = 0; ///< Units taken from the organisation's limit.
 
     TimeMs arrivedAt;
     TimeMs callerWaitsUntil;
-    TimeMs timeoutAt; ///< The final answer is due.
+    TimeMs timeoutAt; ///< The final response is due at this time.
     ExchangePhase phase = ExchangePhase::Queued;
-    TimeMs inTimeUntil; ///< Sent to an engine later, its first event would miss the latency target.
-    uint64_t limitAsk = 0; ///< With AwaitingLimit: the question's number.
+    TimeMs inTimeUntil; ///< If it is sent to an engine later, its first event misses the latency target.
+    uint64_t limitAsk = 0; ///< Number of the QuotaRequest in phase AwaitingLimit.
     TimeMs limitAskUntil;
     bool askedForUnits = false;
-    uint32_t limitWaits = 0; ///< For units, one after the other.
-    bool mayHaveRun = false; ///< Some attempt may have reached an endpoint that runs it.
+    uint32_t limitWaits = 0; ///< Number of waits for units so far.
+    bool mayHaveRun = false; ///< An attempt may have reached an endpoint that runs the request.
     bool countedForUsage = false;
-    uint32_t sends = 0; ///< Endpoints that may have run it.
-    uint32_t rejections = 0; ///< Endpoints that stated they did not.
+    uint32_t sends = 0; ///< Number of sends after which an endpoint may have run the request.
+    uint32_t rejections = 0; ///< Number of endpoints that stated that they did not run the request.
     std::set<EndpointId> tried;
 
     AttemptId attempt;
-    EndpointLife at; ///< Where the attempt was sent, or the one before.
+    EndpointLife at; ///< Endpoint of the open attempt, else of the last one.
     TimeMs sentAt;
-    bool streaming = false; ///< This attempt has brought its first event.
-    uint64_t prefillTokens = 0; ///< Still counted at the endpoint.
-    double expectedMs = 0; ///< Until the first event, if the endpoint has nothing of the prompt.
-    bool foundNoQueue = false; ///< As far as was known when it was sent.
+    bool streaming = false; ///< The first event of this attempt was received.
+    uint64_t prefillTokens = 0; ///< Prefill tokens that are still counted at the endpoint.
+    double expectedMs = 0; ///< Expected time to the first event if nothing of the prompt is cached.
+    bool foundNoQueue = false; ///< No queue was known at the endpoint when the attempt was sent.
     AttemptHead head;
-    std::string body; ///< Of an answer that is held until it is whole.
+    std::string body; ///< Body of a response that is buffered until it is complete.
     EventSplitter splitter;
-    std::optional<uint64_t> lastEvent; ///< Passed on, or held by the caller from before.
-    TimeMs firstEventAt; ///< Of this attempt.
-    uint64_t eventsHere = 0; ///< In this attempt.
-    bool startIsJudged = false; ///< This attempt's first event, answer or failure is counted in a trial.
-    bool paceIsJudged = false;
-    TrialRole trialRole = TrialRole::Ordinary; ///< Of this attempt.
-    uint64_t events = 0; ///< In all attempts.
+    std::optional<uint64_t> lastEvent; ///< Last event that the caller has, from this daemon or from before.
+    TimeMs firstEventAt; ///< Time of this attempt's first event.
+    uint64_t eventsHere = 0; ///< Number of events in this attempt.
+    bool startIsJudged = false; ///< This attempt's first event, response or failure is counted in a trial.
+    bool paceIsJudged = false; ///< This attempt's event interval is counted in a trial.
+    TrialRole trialRole = TrialRole::Ordinary; ///< Role of this attempt.
+    uint64_t events = 0; ///< Number of events in all attempts.
     std::optional<RunMove> move;
-    bool moveDenied = false; ///< For want of repeats.
-    std::set<EndpointId> moveTargets; ///< Tried so far.
-    std::optional<uint64_t> eventStep; ///< Between the ids of two events in a row.
+    bool moveDenied = false; ///< The retry budget was used up; logged once.
+    std::set<EndpointId> moveTargets; ///< Targets tried so far.
+    std::optional<uint64_t> eventStep; ///< Difference of the ids of two consecutive events.
 };
 
 } // namespace cranberry
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -11,27 +11,29 @@
 
 namespace json = boost::json;
 
-/// Kept clear of the bound within which a removed key must be dead, for the way to the endpoint.
+/// Subtracted from the bound within which a removed key must be rejected, to cover the time to reach the
+/// endpoint.
 constexpr DurationMs RevokeMargin{250};
-/// A refusal "no such route" or "no such key" is only final while the configuration is this fresh at most.
+/// A refusal for an unknown route or key is final only if the configuration is not older than this.
 constexpr DurationMs CertainAge{1500};
-/// A store that came back older has what operators wrote meanwhile again after so long.
+/// Time within which operators repeat their writes to a store that was restored from an older copy.
 constexpr DurationMs WrittenAgainAfter{5000};
-/// What callers are told when no better figure is known.
+/// Retry-After time when no better estimate is known.
 constexpr DurationMs DefaultRetryAfter{400};
-/// Another daemon can serve at once.
+/// Retry-After time when another daemon can serve the request at once.
 constexpr DurationMs ElsewhereRetryAfter{50};
 
-/// Requests that come before the first reads of the store wait so long for them. The reads take some 10 ms of
-/// a store that is well, and a process that starts again is met by all callers that the kill cut off.
+/// How long requests that arrive before the first reads of the store wait for them. The reads take about 10
+/// ms with a healthy store, and all callers whose connections the kill cut off reconnect to a restarted
+/// process.
 constexpr DurationMs StartPatience{250};
-constexpr size_t MostAwaitingStart = 500; ///< Bounds their memory.
+constexpr size_t MostAwaitingStart = 500; ///< Bounds the memory of these requests.
 
-/// Less than this to wait for what others still have to have read is no queue.
+/// A wait shorter than this for the prefill of other requests does not count as a queue.
 constexpr double NoQueueMs = 10;
 
-/// Callers that still come this long after a daemon began to leave hold an old entry answer. A stream that
-/// starts then might not end before the process does.
+/// How long a leaving daemon accepts new streams. Callers that connect later use an outdated entry answer,
+/// and their streams might not end before the process exits.
 constexpr DurationMs LastStreamsAfterLeaving{3000};
 
 std::string secondsText(DurationMs duration)
@@ -57,14 +59,15 @@
     fleet_.setDrainTime(settings.drainTime);
 }
 
-// ---- Judging ----
+// ---- Checks of requests ----
 
 bool Gateway::isFresh(TimeMs now, DurationMs bound) const
 {
     return configuration_ && now - confirmedAt_ < bound;
 }
 
-// A store that came back older may lack the newest configuration until the operators have written it again.
+// A store that was restored from an older copy may lack the newest configuration until the operators have
+// written it again.
 bool Gateway::isStoreIncomplete(TimeMs now) const
 {
     return fleet_.olderStoreSince().count > 0 && now - fleet_.olderStoreSince() < WrittenAgainAfter;
@@ -81,10 +84,11 @@
     endsAt_ = endsAt;
 }
 
-// Whether this process might end before the request does. Callers come until the end: they hold entry answers
-// that are seconds old, or could get no newer one. A call taken in the last moment would be cut off after it
-// was sent, and its caller could not tell whether it ran; refused, it goes to another daemon at once. Streams
-// mostly end long before their time-out, so for them a shorter rule is enough.
+// Returns whether this process might exit before the request is complete. Callers connect until the exit,
+// since their entry answers are seconds old or they could not get a newer one. A call accepted shortly before
+// the exit would be cut off after it was sent, and its caller could not know whether it ran. If it is
+// refused, the caller retries at another daemon at once. Most streams end long before their timeout, so they
+// are accepted for a fixed time instead.
 bool Gateway::endsBefore(const Exchange &exchange, TimeMs now) const
 {
     if (exchange.route->kind == RouteKind::Streaming)
@@ -92,8 +96,8 @@
     return std::min(exchange.timeoutAt, exchange.callerWaitsUntil) > endsAt_;
 }
 
-// What a configuration says of a request: the route, the key, and how long the caller can be served. Run
-// again when the request leaves the queue, so that a route or key removed meanwhile is not used.
+// Checks a request against the configuration: its route, its key and its deadline. Runs again when the
+// request leaves the queue, so that a route or key that was removed in the meantime is not used.
 std::optional<Gateway::OwnAnswer> Gateway::judge(Exchange &exchange, TimeMs now) const
 {
     if (!knowsStore())
@@ -119,7 +123,7 @@
                                         : std::nullopt;
 }
 
-// `certain`: the configuration is so fresh that "no such key" is final.
+// `certain`: the configuration is fresh enough to refuse an unknown key finally.
 std::optional<Gateway::OwnAnswer> Gateway::judgeKey(Exchange &exchange, bool certain, TimeMs now) const
 {
     const CallerRequest &request = *exchange.request;
@@ -138,7 +142,8 @@
     return std::nullopt;
 }
 
-// Targets share a route by weight; the request's id decides, so that its repeats go the same way.
+// Selects one of the route's targets by weight. The choice depends on the request id, so that retries go to
+// the same service.
 ServiceName Gateway::pickService(const Exchange &exchange) const
 {
     const std::vector<RouteTarget> &targets = exchange.route->targets;
@@ -176,8 +181,8 @@
 {
     exchange.phase = ExchangePhase::Queued;
     const std::optional<OwnAnswer> refusal = judge(exchange, now);
-    // Refused ones count for the repeats, too: otherwise an outage of the store, in which keys are refused,
-    // would leave no repeats for moving the streams off engines that are reclaimed just after it.
+    // Refused requests count for the retry budget, too. Otherwise a store outage, in which keys are refused,
+    // would leave no retries for migrating streams from engines that are reclaimed just after it.
     if (exchange.route) {
         exchange.service = pickService(exchange);
         repeats_.request(exchange.service, now);
@@ -199,7 +204,7 @@
     }
 }
 
-// The caller left: what runs for it is cancelled at once, also in the queue.
+// The caller disconnected: its request is cancelled at once, whether it is sent or queued.
 void Gateway::onCallerGone(const RequestCallerGone &event, TimeMs now)
 {
     const auto found = exchanges_.find(event.caller);
@@ -283,7 +288,7 @@
     actions_.emplace_back(std::move(order));
 }
 
-// ---- Ends ----
+// ---- Final responses ----
 
 void Gateway::answer(Exchange &exchange, const OwnAnswer &own, TimeMs now)
 {
@@ -311,7 +316,8 @@
     finish(exchange);
 }
 
-// 503 says "not run and never will be": only where no attempt may have reached an endpoint that runs it.
+// 503 guarantees that the request did not and will not run, so it is sent only if no attempt may have reached
+// an endpoint that runs it.
 void Gateway::giveUp(Exchange &exchange, GatewayRefusal reason, TimeMs now, DurationMs comeBackAfter)
 {
     if (!exchange.mayHaveRun && exchange.quotaUnits > 0)
@@ -370,7 +376,7 @@
         if (now >= std::min(entry.second.timeoutAt, entry.second.callerWaitsUntil))
             late.push_back(entry.first);
     }
-    // The end of one runs the queue, which may end another of them.
+    // Each timeout processes the queue, which may finish other requests of this list.
     for (CallerId id : late) {
         const auto found = exchanges_.find(id);
         if (found != exchanges_.end())
--- a/src/gateway/gatewaycounters.h
+++ b/src/gateway/gatewaycounters.h
@@ -7,26 +7,27 @@
 
 namespace cranberry {
 
-/// Why the gateway answered a request itself. One counter each.
+/// Reason for which the gateway refused a request. Each has its own counter.
 enum class GatewayRefusal : uint8_t {
     NoConfiguration,
-    StaleConfiguration, ///< Too long since the store confirmed it; keys may have been removed meanwhile.
+    StaleConfiguration, ///< The store has not confirmed it recently; keys may have been removed since.
     BadRequest,
     UnknownRoute,
     UnknownKey,
-    OverLimit, ///< The organisation's own limit.
+    OverLimit, ///< The organisation exceeded its limit.
     NoEndpoint,
     Overloaded,
-    EndpointsLimited, ///< All its endpoints name limits, and what waits takes longer than the caller has.
-    NotExecuted, ///< Every endpoint asked stated that it did not run the request.
+    EndpointsLimited, ///< All its endpoints state limits, and the expected wait exceeds the caller's
+                      ///< deadline.
+    NotExecuted, ///< All endpoints it was sent to stated that they did not run the request.
     EndpointBroken, ///< The outcome at the endpoint is unknown.
     TimedOut,
     Leaving, ///< This daemon is about to stop.
-    Quarantined, ///< Endpoints ended under the same request before.
+    Quarantined, ///< Endpoints crashed while they processed this request before.
     Count
 };
 
-/// Why a request was sent to another endpoint. One counter each.
+/// Reason for which a request was sent to another endpoint. Each has its own counter.
 enum class GatewayRetry : uint8_t {
     ConnectFailed,
     NotExecuted,
@@ -45,18 +46,20 @@
     StreamsWhole,
     StreamsBroken,
     CallersGone,
-    RetriesDenied, ///< The shared budget of repeats was used up.
+    RetriesDenied, ///< The shared retry budget was used up.
     Queued,
     PeerReports,
     ConfigurationsTaken,
-    EntriesUnreadable, ///< Of endpoints known before, at each change to that.
-    EndpointsEnded, ///< Attempts broke, and then nobody listened there any more.
-    EndpointsOutlivedBreaks, ///< Attempts broke, and the endpoint still ran: a connection, or its own fault.
-    RequestsQuarantined, ///< Put there by what this daemon saw or heard of the others.
-    VersionsSuspected, ///< Of a roll-out's target, by this daemon.
-    AnswersNamedLimit, ///< Of endpoints that take only so many requests a second.
-    SentToLimited, ///< Attempts at endpoints that were known to have named a limit.
-    BreaksUnexplained, ///< Attempts broke, and the endpoint said nothing when it was asked.
+    EntriesUnreadable, ///< Entries of known endpoints that became unreadable.
+    EndpointsEnded, ///< Connections failed, and then no process listened at the address any more.
+    EndpointsOutlivedBreaks, ///< Connections failed while the endpoint kept running: a fault of the network
+                             ///< or the endpoint.
+    RequestsQuarantined, ///< Requests put in quarantine after crashes seen by this daemon or reported by
+                         ///< others.
+    VersionsSuspected, ///< Target versions of roll-outs that this daemon suspects to be faulty.
+    AnswersNamedLimit, ///< Responses of endpoints that state a limit of their request rate.
+    SentToLimited, ///< Attempts at endpoints with a known limit.
+    BreaksUnexplained, ///< Connections failed, and the endpoint did not reply to the probe.
     Count
 };
 
@@ -64,7 +67,7 @@
 const char *toText(GatewayRetry reason);
 const char *toText(GatewayCount count);
 
-/// Plain counts of one daemon; the metrics page prints them all.
+/// Event counters of one daemon, all exported as metrics.
 struct GatewayCounters {
     std::array<uint64_t, static_cast<size_t>(GatewayRefusal::Count)> refusals = {};
     std::array<uint64_t, static_cast<size_t>(GatewayRetry::Count)> retries = {};
@@ -78,7 +81,7 @@
     uint64_t of(GatewayCount count) const { return counts[static_cast<size_t>(count)]; }
 };
 
-/// All counters in the Prometheus text form.
+/// Returns all counters in the Prometheus text format.
 std::string prometheusText(const GatewayCounters &counters);
 
 } // namespace cranberry
--- a/tests/admissionqueue_test.cpp
+++ b/tests/admissionqueue_test.cpp
@@ -4,7 +4,8 @@
 
 using namespace cranberry;
 
-TEST_CASE("those who can still be in time go first, by priority and arrival; the others keep their order")
+TEST_CASE(
+    "requests that can meet their target go first, by priority and arrival; the others keep their order")
 {
     AdmissionQueue queue;
     queue.add({{1}, 1, {100}, {900}});
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(GatewayFixture, "a plain call is passed on and its answer returned")
+TEST_CASE_FIXTURE(GatewayFixture, "a plain call is forwarded and its response returned")
 {
     const CallerId caller = request(Order);
     REQUIRE(sent.size() == 1);
@@ -26,12 +26,11 @@
     CHECK(gateway.isIdle());
 }
 
-TEST_CASE_FIXTURE(GatewayFixture,
-                  "requests that meet a daemon at its start wait for its first look at the store")
+TEST_CASE_FIXTURE(GatewayFixture, "requests that arrive before the first read of the store wait for it")
 {
-    // All daemons were killed. Callers come back in the moment in which the port is open again, before the
-    // first reads of the store are answered. They are served a little later. If the store stays away they are
-    // told so, with a time to come back, long before their own time is over.
+    // After all daemons were killed, callers reconnect as soon as the port is open, before the first reads of
+    // the store complete. They are served after these reads. If the store stays unreachable, they are refused
+    // with Retry-After long before their deadline.
     startAgain();
     const CallerId early = request(Order);
     CHECK(sent.empty());
@@ -52,8 +51,8 @@
 
 TEST_CASE_FIXTURE(GatewayFixture, "unknown routes and keys are final only while the configuration is fresh")
 {
-    // A caller uses a route or a key that was just added. This daemon was cut off from the store and does not
-    // know it yet. "404" or "401" would be wrong and final; "503, come back" is true.
+    // A caller uses a route or key that was just added, and this daemon does not know it yet since it can't
+    // read the store. 404 or 401 would be wrong and final; 503 makes the caller retry.
     CHECK(statusOf(request("/unknown/1")) == 404);
     CHECK(statusOf(request(Order, "no such key")) == 401);
     storeReachable = false;
@@ -63,9 +62,10 @@
     CHECK(sent.empty());
 }
 
-// Guards against a valid key that is refused for good, since an older store lacks the version that added it.
+// Guards against the final refusal of a valid key because a store restored from an older copy lacks the
+// version that added the key.
 TEST_CASE_FIXTURE(GatewayFixture,
-                  "no key and no route is unknown for good while an older store may lack a version")
+                  "unknown keys and routes are not refused finally while a restored store may lack a version")
 {
     gateway.onEndpoints({endpoints, now, 1}, now);
     REQUIRE(statusOf(request(Order, "key-new")) == 401);
@@ -79,9 +79,10 @@
     CHECK(statusOf(request("/added/1")) == 404);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a daemon cut off from the store stops serving keys before one may be dead")
+TEST_CASE_FIXTURE(GatewayFixture,
+                  "a daemon that can't read the store stops accepting keys before one may have been removed")
 {
-    // A key is removed while this daemon can't read the store. Its callers go on using the key. Five seconds
+    // A key is removed while this daemon can't read the store, and callers still use the key. Five seconds
     // after the removal no request with it may run anywhere, so the daemon refuses all keys before that.
     storeReachable = false;
     pass({4000});
@@ -97,8 +98,8 @@
 
 TEST_CASE_FIXTURE(GatewayFixture, "a key removed while its request is queued is not used")
 {
-    // All places of the plain service are taken, the request waits. Its key is removed meanwhile. When a
-    // place gets free, the request is judged again and refused.
+    // All slots of the plain service are taken and the request waits. Its key is removed in the meantime.
+    // When a slot gets free, the request is checked again and refused.
     for (int i = 0; i < 4; ++i)
         request(Order);
     const CallerId waiting = request(Order);
@@ -114,8 +115,8 @@
 
 TEST_CASE_FIXTURE(GatewayFixture, "an older configuration never replaces a newer one")
 {
-    // Reads overlap: an answer with the older version arrives after the newer one. The route that the newer
-    // one added stays.
+    // Reads overlap, and the reply with the older version arrives after the newer one. The route added by the
+    // newer version stays.
     std::shared_ptr<ServingConfiguration> next = makeConfiguration(5);
     next->routes[3].prefix = "/added/";
     configure(next);
@@ -126,17 +127,18 @@
     CHECK(sent.size() == 1);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a call that must not be repeated is sent once, and its outcome is unknown")
+TEST_CASE_FIXTURE(GatewayFixture,
+                  "a non-idempotent call is sent once, and its outcome is unknown after a failure")
 {
-    // The endpoint's connection breaks after the request was written: it may have run. The caller gets 502,
-    // which promises nothing, and the request goes nowhere else.
+    // The connection fails after the request was written, so the request may have run. The caller gets 502,
+    // which leaves the outcome open, and the request is not sent again.
     const CallerId caller = request(Order);
     broken(lastSent().attempt);
     CHECK(sent.size() == 1);
     CHECK(statusOf(caller) == 502);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a call that was not run goes to another endpoint, whatever its kind")
+TEST_CASE_FIXTURE(GatewayFixture, "a call that was not run is sent to another endpoint, whatever its kind")
 {
     const CallerId caller = request(Order);
     const EndpointId first = lastSent().endpoint;
@@ -148,10 +150,10 @@
     CHECK(!headerOfAnswer(caller, "Retry-After").empty());
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "not run is never said after an attempt that may have run")
+TEST_CASE_FIXTURE(GatewayFixture, "503 is never sent after an attempt that may have run")
 {
-    // The first endpoint breaks off an idempotent call, the second states that it did not run it. The first
-    // one may have run it: the answer must not promise otherwise.
+    // The connection to the first endpoint fails, and the second states that it did not run the call. The
+    // first may have run it, so the response must not state that it was not run.
     const CallerId caller = request(LookUp);
     broken(lastSent().attempt);
     REQUIRE(sent.size() == 2);
@@ -159,18 +161,18 @@
     CHECK(statusOf(caller) == 502);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a refusal that the endpoint did not state to be one is not passed on")
+TEST_CASE_FIXTURE(GatewayFixture, "a 503 without the statement that the call was not run is not forwarded")
 {
-    // An endpoint answers 503 without stating that the call was not run. Passed on, it would promise that.
+    // Forwarded to the caller, the 503 would state that the call was not run.
     const CallerId caller = request(Order);
     head(lastSent().attempt, 503, false);
     end(lastSent().attempt);
     CHECK(statusOf(caller) == 502);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "an answer that belongs to another request is not passed on")
+TEST_CASE_FIXTURE(GatewayFixture, "a response to another request is not forwarded")
 {
-    // A late answer to an earlier request arrives where this one's is due.
+    // A late response to an earlier request arrives on the connection of this one.
     const CallerId caller = request(Order);
     AttemptHead head;
     head.attempt = lastSent().attempt;
@@ -182,7 +184,7 @@
     CHECK(cancelled.size() == 1);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "an idempotent call is repeated at another endpoint")
+TEST_CASE_FIXTURE(GatewayFixture, "an idempotent call is retried at another endpoint")
 {
     const CallerId caller = request(LookUp);
     const EndpointId first = lastSent().endpoint;
@@ -198,7 +200,7 @@
     CHECK(answers[caller].body == "whole");
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a connection that was never had costs no attempt")
+TEST_CASE_FIXTURE(GatewayFixture, "a connection that could not be established costs no attempt")
 {
     const CallerId caller = request(Order);
     broken(lastSent().attempt, false);
@@ -207,7 +209,7 @@
     CHECK(statusOf(caller) == 503);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a stream is passed on by whole events")
+TEST_CASE_FIXTURE(GatewayFixture, "a stream is forwarded by complete events")
 {
     const CallerId caller = request(PlainStream);
     head(lastSent().attempt, 200, true);
@@ -223,8 +225,8 @@
 
 TEST_CASE_FIXTURE(GatewayFixture, "a stream that stops in the middle of an event must not look complete")
 {
-    // The endpoint ends its answer cleanly, but in the middle of an event. The caller must see a broken
-    // stream.
+    // The endpoint ends its response cleanly, but in the middle of an event. The caller must see an
+    // interrupted stream.
     const CallerId caller = request(PlainStream);
     head(lastSent().attempt, 200, true);
     events(lastSent().attempt, 1, 3);
@@ -235,7 +237,8 @@
     CHECK(sent.size() == 1);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a resumable stream goes on at another endpoint without gap or repetition")
+TEST_CASE_FIXTURE(GatewayFixture,
+                  "a resumable stream continues at another endpoint without gap or repetition")
 {
     const CallerId caller = request(Model);
     const EndpointId first = lastSent().endpoint;
@@ -252,10 +255,10 @@
     CHECK(streamed[caller].find("id: 5") != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a resumed stream that leaves an event out is cut off")
+TEST_CASE_FIXTURE(GatewayFixture, "a resumed stream that skips an event is cut off")
 {
-    // The second endpoint goes on one event too late. Passing that on would join two pieces that don't belong
-    // together; the caller must see a broken stream instead.
+    // The second endpoint continues one event too late. Forwarding that would hide the gap; the caller must
+    // see an interrupted stream instead.
     const CallerId caller = request(Model);
     head(lastSent().attempt, 200, true);
     events(lastSent().attempt, 1, 3);
@@ -267,7 +270,7 @@
     CHECK(streamed[caller].find("id: 5") == std::string::npos);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a caller that leaves takes its work along")
+TEST_CASE_FIXTURE(GatewayFixture, "the request of a caller that disconnects is cancelled")
 {
     const CallerId running = request(Order);
     gateway.onCallerGone({running}, now);
@@ -282,7 +285,7 @@
     CHECK(sent.size() == 5);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "an endpoint that leaves gets no new work")
+TEST_CASE_FIXTURE(GatewayFixture, "a leaving endpoint gets no new requests")
 {
     endpoints[3].leaving = true;
     listEndpoints();
@@ -291,16 +294,19 @@
     REQUIRE(sent.size() == 2);
     CHECK(sent[0].endpoint.value == "p2");
     CHECK(sent[1].endpoint.value == "p2");
-    // An older word that it is ready does not bring it back.
+    // An outdated entry without the leaving flag does not make it available again.
     endpoints[3].leaving = false;
     listEndpoints();
     CHECK(sent.size() == 2);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "entries that lapsed with the store serve until they had time to come back")
+TEST_CASE_FIXTURE(
+    GatewayFixture,
+    "endpoints whose entries expired in a store outage are used until they had time to register again")
 {
-    // The store was away; when it is back, its list is empty, since all entries lapsed meanwhile. The
-    // endpoints are alive. They go on serving for about two seconds; what is missing after that is gone.
+    // The store was unreachable, and its endpoint list is empty afterwards, since all entries expired in the
+    // meantime. The endpoints still run and are used for about two seconds; those still missing then are
+    // removed.
     storeReachable = false;
     pass({3000});
     const std::vector<EndpointEntry> alive = std::exchange(endpoints, {});
@@ -315,7 +321,8 @@
     CHECK(lastSent().endpoint.value == "m1");
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "an entry missing from an uninterrupted list is gone at once")
+TEST_CASE_FIXTURE(GatewayFixture,
+                  "an endpoint missing from the list is removed at once if the store was reachable")
 {
     endpoints.erase(endpoints.begin() + 3);
     listEndpoints();
@@ -323,7 +330,7 @@
     CHECK(lastSent().endpoint.value == "p2");
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "the final answer is there when the route's time is over")
+TEST_CASE_FIXTURE(GatewayFixture, "the final response is sent when the route's timeout ends")
 {
     const CallerId sentCaller = request(Order);
     for (int i = 0; i < 3; ++i)
@@ -335,11 +342,11 @@
     CHECK(cancelled.size() == 4);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a request that can't be served in its time is refused at once")
+TEST_CASE_FIXTURE(GatewayFixture, "a request that cannot meet its deadline is refused at once")
 {
-    // Answers take a second, four are served side by side, and callers have one and a half. The fifth to
-    // tenth can still be served; those behind them are told at once, with a time to come back, not when their
-    // time is over.
+    // Responses take 1 s, four requests are served in parallel, and callers wait 1.5 s. The fifth to tenth
+    // request can still be served; those behind them are refused at once with Retry-After, not at their
+    // deadline.
     for (int i = 0; i < 4; ++i)
         request(Order);
     pass({1000});
@@ -356,11 +363,12 @@
     CHECK(!headerOfAnswer(callers[13], "Retry-After").empty());
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "requests that time out in the same tick don't trip over each other")
+TEST_CASE_FIXTURE(GatewayFixture, "requests may time out in the same tick")
 {
-    // A stream and a queued call reach their time in the same tick, in which the configuration gets too old,
-    // too. The end of the stream looks through the queue and refuses the call; then it is the call's turn to
-    // time out.
+    // A stream and a queued call time out in the same tick in which the configuration gets too old. The end
+    // of the stream processes the queue, which refuses the call; then the call's own timeout is processed.
+    // Guards against access to an
+    // exchange that is already finished.
     storeReachable = false;
     CallerRequest stream = makeRequest(PlainStream);
     stream.deadline = DurationMs{4750};
@@ -376,7 +384,7 @@
     CHECK(statusOf(waiting) == 503);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a queued request is refused when the last endpoint goes")
+TEST_CASE_FIXTURE(GatewayFixture, "a queued request is refused when the last endpoint leaves")
 {
     for (int i = 0; i < 4; ++i)
         request(Order);
@@ -388,10 +396,11 @@
     CHECK(statusOf(waiting) == 503);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a leaving daemon serves on, but starts no stream that it could not finish")
+TEST_CASE_FIXTURE(GatewayFixture,
+                  "a leaving daemon continues to serve, but starts no stream that it could not finish")
 {
-    // The daemon is told to stop. Callers that still come are served; three seconds later a new stream is
-    // refused with "not run, elsewhere now", since it could be cut by the end of the process.
+    // The daemon is asked to stop. New requests are still served. Three seconds later a new stream is refused
+    // with 503 and a short Retry-After, since the exit of the process could cut it.
     gateway.startLeaving(now, now + DurationMs{7300});
     CHECK_FALSE(gateway.isReady(now));
     request(Model);
@@ -404,11 +413,11 @@
     CHECK(sent.size() == 2);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a leaving daemon takes no call that its end could cut off")
+TEST_CASE_FIXTURE(GatewayFixture, "a leaving daemon accepts no call that its exit could cut off")
 {
-    // The daemon is told to stop. A caller whose entry answer is old comes milliseconds before the process
-    // ends. Its call would be sent and cut off with it, and must not be repeated: refused, it runs elsewhere
-    // at once.
+    // A caller with an outdated entry answer connects shortly before the process exits. Its non-idempotent
+    // call would be sent and cut off, with an unknown outcome. If it is refused, the caller retries at
+    // another daemon.
     gateway.startLeaving(now, now + DurationMs{7300});
     pass({5700});
     request(Order);
@@ -423,7 +432,7 @@
 }
 
 TEST_CASE_FIXTURE(GatewayFixture,
-                  "requests of one shared prompt go to one endpoint, and spill when it is busy")
+                  "requests with a shared prompt go to one endpoint, and to others when it is busy")
 {
     CallerRequest shared = makeRequest(Model);
     shared.promptTokens = 17000;
@@ -445,11 +454,12 @@
     CHECK(spilled);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a shared prompt leaves its home for a lasting queue, not for a moment's")
+TEST_CASE_FIXTURE(GatewayFixture,
+                  "a shared prompt leaves its preferred endpoint for a lasting queue, not for a short one")
 {
-    // Another daemon has just sent a large prompt to the engine that holds a shared part. The engine will
-    // have read it when the next report comes. Only if queues stay long does the part move, since it is then
-    // read a second time.
+    // Another daemon has just sent a large prompt to the engine that caches a shared part. The engine
+    // finishes its prefill before the next report. The part moves to another engine only if the queue lasts,
+    // since that costs a second prefill.
     CallerRequest shared = makeRequest(Model);
     shared.promptTokens = 14000;
     shared.parts = {{"manual", 13000}, {"own", 1000}};
@@ -478,12 +488,10 @@
     CHECK(lastSent().endpoint != home);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture,
-                  "an engine that falls silent gets no new work, and resumable streams leave it")
+TEST_CASE_FIXTURE(GatewayFixture, "a silent engine gets no new requests, and resumable streams leave it")
 {
-    // An engine goes dark in the middle of its streams: no reset, nothing. The caller of a resumable stream
-    // sees a pause and then the rest from another engine; one that can't be resumed waits, since the engine
-    // may be back.
+    // An engine stops sending in the middle of its streams, without a TCP reset. A resumable stream continues
+    // from another engine after a pause; one that can't be resumed waits, since the engine may come back.
     const CallerId resumable = request(Model);
     const EndpointId dark = lastSent().endpoint;
     const AttemptId first = lastSent().attempt;
@@ -516,11 +524,10 @@
     CHECK_FALSE(streamEnds.contains(resumable));
 }
 
-TEST_CASE_FIXTURE(GatewayFixture,
-                  "a stream at an engine that pauses is not cut when no repeat is left for it")
+TEST_CASE_FIXTURE(GatewayFixture, "a stream at a pausing engine is not cut when the retry budget is used up")
 {
-    // Engines are overloaded: events come a second apart, and all repeats are used up. A stream that left its
-    // engine for that would end there and then, though the rest is still to come.
+    // Engines are overloaded: events arrive a second apart, and the retry budget is used up. A stream that
+    // left its engine would end at once, although its remaining events are still to come.
     GatewaySettings none;
     none.repeats = {0, 0, {10000}};
     gateway.applyBounds(none);
@@ -537,10 +544,10 @@
 }
 
 TEST_CASE_FIXTURE(GatewayFixture,
-                  "one that stands by beside a single one that serves has no repeats to spare")
+                  "a standby daemon next to a single serving one has no share of the retry slack")
 {
-    // One daemon serves, this one has a stray caller. If both took the whole slack, a failing service would
-    // get twice the repeats that the operators allow.
+    // One daemon serves, and this standby daemon has a single caller. If both used the whole slack, a failing
+    // service would get twice the allowed retries.
     gateway.onMembers({{{"entry-1"}, {1}, {"north"}, {}, {"10.0.0.1", 90}, 1, false},
                        {{"entry-2"}, {2}, {"south"}, {}, {"10.0.0.2", 90}, 1, true}},
                       now);
@@ -550,10 +557,11 @@
     CHECK(gateway.counters().of(GatewayRetry::Broken) == 0);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a daemon that stood still itself does not take its engines for silent")
+TEST_CASE_FIXTURE(GatewayFixture,
+                  "a daemon does not take its engines for silent after a pause of its own process")
 {
-    // The instance is suspended for three seconds. The engines' events wait in its sockets; they are read
-    // only after the first tick. Streams must not be moved for that.
+    // The instance is suspended for three seconds. The engines' events wait in its socket buffers and are
+    // read only after the first tick. Streams must not be resumed elsewhere because of that.
     request(Model);
     head(lastSent().attempt, 200, true);
     events(lastSent().attempt, 1, 2);
@@ -563,12 +571,11 @@
     CHECK(sent.size() == 1);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture,
-                  "the daemons that serve share the repeats, those that stand by have none to spare")
+TEST_CASE_FIXTURE(GatewayFixture, "serving daemons share the retry slack, standby daemons get none")
 {
-    // Nine of forty daemons have all the callers. With an equal share of the repeats that all may make, most
-    // streams of a reclaimed failure domain would be cut although the budget of all is hardly used. One that
-    // stands by has a stray caller at most; it repeats by the ratio.
+    // 9 of 40 daemons have all the callers. With equal shares for all 40, most streams of a reclaimed failure
+    // domain would be cut although most of the total budget is unused. A standby daemon has few callers and
+    // retries by the ratio only.
     std::vector<MemberEntry> members;
     for (uint64_t i = 1; i <= 40; ++i) {
         const std::string name = "entry-" + std::to_string(i);
@@ -598,15 +605,15 @@
         request(Model);
         broken(lastSent().attempt);
     }
-    // 0.75 x 0.2 x 20 requests, the four before included
+    // 0.75 x 0.2 x 20 requests; the four retries above count, too
     CHECK(gateway.counters().of(GatewayRetry::Broken) == 4);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a late request that is refused does not hold up those behind it")
+TEST_CASE_FIXTURE(GatewayFixture, "a refused late request does not delay those behind it")
 {
-    // All engines are taken. A large request that the engines could not read in its time even alone is
-    // refused. One behind it, late as well, has seconds left: counted as waiting for the large one, it was
-    // refused in the same moment, though an engine came free soon after.
+    // All engines are busy. A large request whose prefill alone exceeds its deadline is refused. A late
+    // request behind it still has seconds left. Guards against counting the large request as ahead of it,
+    // which refused it together with the large one although an engine became free soon after.
     configuration->services[0].engine->slots = 1;
     configuration->routes[1].priority = 1;
     configure(configuration);
--- a/tests/gatewaylimits_test.cpp
+++ b/tests/gatewaylimits_test.cpp
@@ -16,7 +16,7 @@
     fixture.gateway.onPeerReport(report, fixture.now);
 }
 
-/// Two daemons share a limit of 10 requests and 1 a second; the other one can spare four.
+/// Two daemons share a limit with a burst of 10 requests and a rate of 1/s. The other one can spare 4 units.
 void shareLimit(GatewayFixture &fixture, bool heard = true)
 {
     std::shared_ptr<ServingConfiguration> limited = fixture.makeConfiguration(2);
@@ -33,10 +33,10 @@
 } // namespace
 
 TEST_CASE_FIXTURE(GatewayFixture,
-                  "a request beyond this daemon's part of a limit waits for what another can spare")
+                  "a request beyond this daemon's share of a limit waits for units of another daemon")
 {
-    // This daemon's balance is used up. The caller's organisation is within its limit over all daemons: the
-    // request waits some milliseconds for units of another daemon, and is served.
+    // This daemon's balance is used up, but the organisation is within its limit over all daemons. The
+    // request waits some milliseconds for units of another daemon and is served.
     shareLimit(*this);
     CHECK(statusOf(request(Order)) == 0);
     const size_t before = sent.size();
@@ -49,14 +49,14 @@
     drainActions();
     CHECK(sent.size() == before + 1);
     CHECK(statusOf(waiting) == 0);
-    // A doubled gift counts once.
+    // A duplicated transfer counts once.
     gateway.onQuotaGift(gift, now);
     gateway.onQuotaGift(gift, now);
     request(Order);
     CHECK(sent.size() == before + 1);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a request whose gift is lost is refused soon, with a time to come back")
+TEST_CASE_FIXTURE(GatewayFixture, "a request whose transfer is lost is refused soon, with Retry-After")
 {
     shareLimit(*this);
     request(Order);
@@ -70,9 +70,9 @@
 TEST_CASE_FIXTURE(GatewayFixture,
                   "a daemon that has just started asks the others before it refuses for a limit")
 {
-    // All daemons were killed and start again with a part of their balances. The first one knows nobody: a
-    // request beyond its own part is within the limit of all. It waits for the first reports, and for what
-    // they offer.
+    // All daemons were killed and restart with a fraction of their balances. The first one has no reports of
+    // the others yet. A request beyond its own balance, but within the whole limit, waits for the first
+    // reports and then for a transfer.
     startAgain();
     shareLimit(*this, false);
     listEndpoints();
@@ -87,7 +87,7 @@
     drainActions();
     CHECK(sent.size() == 2);
 
-    // Nobody is heard: it is refused in the end, long before the caller's own time is over.
+    // If no reports arrive, the request is refused long before the caller's deadline.
     startAgain();
     shareLimit(*this, false);
     listEndpoints();
--- a/tests/limits_explorer_test.cpp
+++ b/tests/limits_explorer_test.cpp
@@ -28,8 +28,8 @@
     return std::string(1, static_cast<char>('a' + daemon));
 }
 
-/// Daemons under one rushing organisation, with lost reports, partitions and restarts. Counts what they let
-/// through together in any window.
+/// Simulates daemons that enforce the limit of one overloading organisation, with lost reports, partitions
+/// and restarts. Measures the units that they admit together in any window.
 class LimitWorld
 {
 public:
@@ -68,15 +68,15 @@
     Random random;
     TimeMs now{100'000};
     std::vector<uint32_t> group
-        = std::vector<uint32_t>(DaemonCount); ///< Daemons hear those of their own group.
+        = std::vector<uint32_t>(DaemonCount); ///< Daemons receive messages of their own group only.
     uint64_t lossPercent = 0;
-    bool isIdle = false; ///< Nobody asks for anything; balances fill up.
-    /// How long ago the list of members was so that a daemon goes by.
+    bool isIdle = false; ///< No requests are submitted, so balances fill up.
+    /// Age of each daemon's member list.
     std::vector<DurationMs> viewAge = std::vector<DurationMs>(DaemonCount);
-    double most = 0; ///< Let through in any window so far.
+    double most = 0; ///< Maximum number of units admitted in any window so far.
     double all = 0;
 
-    /// Daemons begin and cease to serve: one for each bit.
+    /// Sets which daemons serve, one bit per daemon.
     void letServe(uint64_t which)
     {
         std::vector<bool> serving(DaemonCount);
@@ -100,7 +100,7 @@
         uint64_t sequence = 0;
         TimeMs reportAt;
         TimeMs downUntil;
-        double wanted = 0; ///< Of a request that waits for gifts.
+        double wanted = 0; ///< Units of a request that waits for transfers.
         TimeMs waitUntil;
     };
     using Message = std::variant<PeerReport, QuotaAsk, QuotaGift>;
@@ -164,7 +164,7 @@
         OneDaemon &daemon = *daemons_[i];
         std::vector<MemberEntry> members;
         for (size_t j = 0; j < DaemonCount; ++j) {
-            // A killed daemon's entry stands until its lease is over.
+            // The entry of a killed daemon stays until its lease expires.
             const Address address{"10.0.0.1", static_cast<uint16_t>(j)};
             if (now >= daemons_[j]->downUntil || now - listedAt_[j] < LeaseTime)
                 members.push_back({{nameOf(j)},
@@ -240,7 +240,8 @@
     ServedOrganisation organisation_;
     std::unique_ptr<OneDaemon> daemons_[DaemonCount];
     TimeMs listedAt_[DaemonCount];
-    std::vector<std::pair<TimeMs, std::vector<bool>>> roles_; ///< Since when, who serves.
+    std::vector<std::pair<TimeMs, std::vector<bool>>>
+        roles_; ///< Start time and serving daemons of each period.
     uint64_t incarnations_ = 0;
     std::vector<Envelope> messages_;
     std::deque<std::pair<TimeMs, double>> used_;
@@ -249,7 +250,7 @@
 
 } // namespace
 
-TEST_CASE("without faults a rushing organisation gets its rate, and little more than its burst")
+TEST_CASE("without faults an overloading organisation gets its rate, and little more than its burst")
 {
     LimitWorld world(1);
     world.pass({20000});
@@ -257,11 +258,10 @@
     CHECK(world.all >= Rate * 20);
 }
 
-TEST_CASE("partitions, lost reports and restarts never let more through than is tolerated")
+TEST_CASE("partitions, lost reports and restarts never admit more than the tolerance")
 {
-    // An organisation presses at all daemons without pause. Daemons are cut apart in any way, reports get
-    // lost, and daemons are killed and start again, at random and overlapping. In no window of eight seconds
-    // may all of them together let more through than the operators tolerate.
+    // An organisation overloads all daemons. Partitions, lost reports and restarts occur at random and
+    // overlap. In no window of eight seconds may all daemons together admit more than the operators tolerate.
     double most = 0;
     for (uint64_t seed = 1; seed <= 120; ++seed) {
         CAPTURE(seed);
@@ -297,11 +297,11 @@
     fmt::print("limits explorer | most in a window {:.0f} of {:.0f}\n", most, Allowed);
 }
 
-TEST_CASE("daemons that begin and cease to serve never let more through than is tolerated")
+TEST_CASE("daemons that start and stop serving never admit more than the tolerance")
 {
-    // Limits are shared by those that serve, as each daemon's list of the members shows it. Who serves
-    // changes every few seconds, and the lists are up to 1.3 s old, each by another time; daemons are killed
-    // besides. Shares overlap for a moment, or lie with daemons that no longer have one.
+    // Limits are shared by the daemons that serve according to each daemon's own member list. The serving
+    // daemons change every few seconds, the lists have different ages of up to 1.3 s, and daemons are killed.
+    // Shares overlap for a moment, or are held by daemons that are no longer serving.
     double most = 0;
     for (uint64_t seed = 1; seed <= 120; ++seed) {
         CAPTURE(seed);
--- a/tests/retrybudget_test.cpp
+++ b/tests/retrybudget_test.cpp
@@ -1,4 +1,4 @@
-// The budget of retries of the daemon with the project's own interface, when it is empty.
+// Tests the retry budget of the daemon with the project's own interface when it is used up.
 
 #include "onedaemon.h"
 
@@ -6,11 +6,12 @@
 
 using namespace cranberry;
 
-TEST_CASE("streams of engines that fall silent at once all go on elsewhere, also when the budget is empty")
+TEST_CASE(
+    "streams of engines that fall silent at once all continue elsewhere, even if the retry budget is used up")
 {
-    // Forty streams lose their engines in the same moment, and the budget holds twenty retries. The others
-    // were given up as "unknown", though their callers had a minute left. They wait instead: other requests
-    // that are answered fill the budget again.
+    // 40 streams lose their engines at once, and the budget holds 20 retries. Guards against giving up the
+    // other 20 as "unknown" although their callers have a minute left. They wait instead, since successful
+    // requests refill the budget.
     OneDaemon daemon;
     daemon.phase = FailurePhase::Silent;
     std::vector<CallerId> callers;
