--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -367,8 +367,7 @@
 {
     // A stream and a queued call time out in the same tick in which the configuration gets too old. The end
     // of the stream processes the queue, which refuses the call; then the call's own timeout is processed.
-    // Guards against access to an
-    // exchange that is already finished.
+    // Guards against access to an exchange that is already finished.
     storeReachable = false;
     CallerRequest stream = makeRequest(PlainStream);
     stream.deadline = DurationMs{4750};
