--- a/tests/crashingrequest_test.cpp
+++ b/tests/crashingrequest_test.cpp
@@ -1,9 +1,9 @@
-// Requests that end each engine that begins to run them, and requests that only were there.
+// Requests that crash each engine that starts to run them, and requests that only were open there.
 //
-// Users saw engines stop answering one after the other, dozens in a quarter of a minute, and requests of all
-// kinds on them cut. One request of one caller was among those open at each engine when it ended, 35 to 110
-// ms after it had begun to run there. Each daemon repeated it at once at a second engine, and each time the
-// caller came back, to any daemon, nothing was known of the engines it had ended.
+// Users saw engines stop answering one after the other, dozens within 15 seconds, with all requests on them
+// cut. One request of one caller was among those open at each crashed engine, and had started there 35 to 110
+// ms before the crash. Each daemon retried it at once at a second engine, and each time the caller sent it
+// again, to any daemon, the earlier crashes were not known there.
 
 #include "engineload.h"
 
@@ -17,7 +17,7 @@
 constexpr const char *Review = "/review/1";
 constexpr DurationMs RestartTime{3500};
 
-/// Engines that end with what they have, and come back under other names.
+/// Engines that crash with their requests and are replaced under other names.
 class CrashFixture : public GatewayFixture
 {
 public:
@@ -45,7 +45,7 @@
         return digestOf({"a"}, sent.front().request->path, sent.front().request->body);
     }
 
-    /// The engine of the newest attempt ends, and another one takes its place.
+    /// Crashes the engine of the newest attempt; another one takes its place.
     void crash()
     {
         const SendAttempt attempt = lastSent();
@@ -64,7 +64,7 @@
             {"chat", 25, 200, 130, 630, 290, {500}, {15000}, 0, true}};
 }
 
-/// Nine engines that carry the load with ease, six daemons.
+/// Nine engines, which carry the load easily, and six daemons.
 LoadPlan crashPlan(uint64_t seed)
 {
     LoadPlan plan;
@@ -77,10 +77,10 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(CrashFixture, "a request that ended three engines is sent to none any more")
+TEST_CASE_FIXTURE(CrashFixture, "a request that crashed three engines is sent to no further one")
 {
-    // The caller's first try ends two engines, its second one a third. Then each further engine is one that
-    // others lose their answers at: the caller is told at once that the request was not run.
+    // The caller's first try crashes two engines, its second one a third. Any further crash would fail other
+    // callers' requests, so the caller is told at once that the request was not run.
     askAgain();
     crash();
     REQUIRE(sent.size() == 2);
@@ -97,10 +97,11 @@
     CHECK_FALSE(headerOfAnswer(again, "Retry-After").empty());
 }
 
-TEST_CASE("engines that one request ends are few, whichever daemon it comes to")
+TEST_CASE("one request crashes few engines, whichever daemons it is sent to")
 {
-    // Four times a second the request comes to one of six daemons. Sent on each time, it ended 68 engines of
-    // others' requests in a minute; three and what was under way at the third are not to be helped.
+    // The request arrives four times a second at one of six daemons. When it was sent on each time, it
+    // crashed 68 engines with other callers' requests in a minute. Three crashes, and whatever is in flight
+    // at the third, can't be avoided.
     for (const uint64_t seed : {1U, 2U, 3U}) {
         LoadPlan plan = crashPlan(seed);
         plan.crashing = CrashingRequest{};
@@ -114,10 +115,11 @@
     }
 }
 
-TEST_CASE("many tries at once, and datagrams that are lost, end few engines more")
+TEST_CASE("simultaneous tries and lost datagrams crash few more engines")
 {
-    // The request comes to all daemons in the same moment, again while the first tries still run, and half of
-    // what daemons tell each other is lost. What runs at the verdict is not to be helped; later tries are.
+    // The request arrives at all daemons in the same moment, again while the first tries still run, and half
+    // of the datagrams between daemons are lost. Attempts that run when the quarantine starts can't be
+    // prevented; later ones must be.
     for (const uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
         LoadPlan plan = crashPlan(seed);
         plan.crashing = CrashingRequest{};
@@ -133,11 +135,11 @@
     }
 }
 
-TEST_CASE("requests on engines that end by themselves are served")
+TEST_CASE("requests on engines that crash on their own are served")
 {
     // A rack loses three engines with some 60 requests each, a second rack follows a second later, and a
-    // third one after that: all nine engines, each back after 0.9 s. The callers whose streams broke come
-    // again. None of their requests ended an engine; none may be taken for one that did.
+    // third one after that: all nine engines crash, each is back after 0.9 s. The callers whose streams were
+    // interrupted retry. None of their requests caused a crash, so none may be quarantined.
     for (const uint64_t seed : {1U, 2U, 3U}) {
         LoadPlan plan = crashPlan(seed);
         plan.kinds = {{"chat", 300, 200, 130, 630, 290, {500}, {15000}, 0, true}};
@@ -152,9 +154,10 @@
     }
 }
 
-TEST_CASE("one engine that ends by itself costs none of its callers the answer")
+TEST_CASE("one engine that crashes on its own costs none of its callers the answer")
 {
-    // One of nine engines ends with some fifty requests; the others have room. The streams go on elsewhere.
+    // One of nine engines crashes with some fifty requests; the others have capacity. The streams are resumed
+    // there.
     for (const uint64_t seed : {1U, 2U, 3U}) {
         LoadPlan plan = crashPlan(seed);
         plan.kinds = {{"chat", 200, 200, 130, 630, 290, {500}, {15000}, 0, true}};
@@ -170,10 +173,10 @@
     }
 }
 
-TEST_CASE_FIXTURE(CrashFixture, "what must not be repeated is kept from further endpoints as well")
+TEST_CASE_FIXTURE(CrashFixture, "a request that must not be retried is quarantined as well")
 {
-    // A call that may run once only ends a plain endpoint: its caller can't know whether it ran, and gets 502
-    // at once. It comes again and ends two more. The fourth try is not sent: 503 says so truly.
+    // A call that is not idempotent crashes a plain endpoint: its caller can't know whether it ran, and gets
+    // 502 at once. Two more tries crash two more endpoints. The fourth try is not sent, so 503 is correct.
     const auto order = [this] {
         CallerRequest again = makeRequest("/order/1");
         again.body = "one and the same";
@@ -189,14 +192,15 @@
     const CallerId again = order();
     CHECK(sent.size() == before);
     CHECK(statusOf(again) == 503);
-    // The third try, when its endpoint had ended, and the fourth.
+    // The third try, after its endpoint crashed, and the fourth.
     CHECK(gateway.counters().of(GatewayRefusal::Quarantined) == 2);
 }
 
-TEST_CASE_FIXTURE(CrashFixture, "tries that wait at engines when the verdict falls are taken back")
+TEST_CASE_FIXTURE(CrashFixture, "tries that wait at engines when the quarantine starts are cancelled")
 {
-    // The request waits at two more engines while a third one ends under it. Both are still free of it: the
-    // tries are cancelled there, and their callers know at once that the outcome is not certain.
+    // The request waits at several engines when other daemons report three crashes under it. The waiting
+    // tries are cancelled before they can crash their engines, and their callers learn at once that the
+    // outcome is unknown.
     std::array<CallerId, 4> callers;
     for (CallerId &caller : callers)
         caller = askAgain();
@@ -214,12 +218,13 @@
     }
 }
 
-TEST_CASE_FIXTURE(CrashFixture,
-                  "a stream that is resumed, or moved, does not carry its request to another engine")
+TEST_CASE_FIXTURE(
+    CrashFixture,
+    "a stream that is resumed or migrated does not take its quarantined request to another engine")
 {
-    // A stream runs when its request is put in quarantine by what other daemons saw. Its engine is to leave:
-    // the stream is not moved. Its engine ends: it is not resumed, and the caller's own try to resume is
-    // refused.
+    // A stream runs while its request is quarantined because of crashes that other daemons saw. Its engine is
+    // about to leave: the stream is not migrated. Its engine crashes: the stream is not resumed, and the
+    // caller's own attempt to resume it is refused.
     configuration->services[0].engine->movesRuns = true;
     const CallerId caller = askAgain();
     const SendAttempt first = lastSent();
@@ -250,10 +255,10 @@
 }
 
 TEST_CASE_FIXTURE(CrashFixture,
-                  "an engine that leaves, and one that only lost connections, put nobody under suspicion")
+                  "a leaving engine, or one that only lost connections, makes no request a suspect")
 {
-    // Engines of a failure domain that is taken back end with what could not be moved; resets cut connections
-    // of engines that go on. The same request may be there many times.
+    // Engines of a reclaimed failure domain exit with the streams that could not be migrated; resets cut
+    // connections of engines that continue. The same request may be there many times.
     for (int i = 0; i < 5; ++i) {
         askAgain();
         const SendAttempt attempt = lastSent();
--- a/tests/crashsuspects_test.cpp
+++ b/tests/crashsuspects_test.cpp
@@ -1,4 +1,4 @@
-// Which of the requests that were at an endpoint when it ended is kept from further ones.
+// Which of the requests that were open at a crashed endpoint is quarantined.
 
 #include "gateway/endpoints/crashsuspects.h"
 
@@ -17,10 +17,10 @@
 
 } // namespace
 
-TEST_CASE("the request that is there at each of three ends stands out among those beside it")
+TEST_CASE("the request that was open at each of three crashes stands out among the others")
 {
-    // Three engines end, each with the same request and thirty others that were only there. One end is told
-    // by several daemons and counts once.
+    // Three engines crash, each with the same request and thirty unrelated ones. A crash that is reported by
+    // several daemons counts once.
     CrashSuspects suspects;
     const TimeMs now{1000};
     for (int end = 0; end < 3; ++end) {
@@ -35,10 +35,10 @@
     CHECK(suspects.timeLeft(Bad, now).count > 0);
 }
 
-TEST_CASE("an answer clears a request, whatever ended under it before")
+TEST_CASE("an answer clears a request, whatever crashed under it before")
 {
-    // Some requests are asked for all the time with the same text. Engines end under them as under others,
-    // but they are answered in between: they must never add up to a verdict.
+    // Some requests with identical text are sent all the time. Engines crash under them as under others, but
+    // they are answered in between: their crashes must never add up to a quarantine.
     CrashSuspects suspects;
     const TimeMs now{1000};
     for (int end = 0; end < 20; ++end) {
@@ -50,10 +50,11 @@
     CHECK_FALSE(suspects.answered(Bad, now));
 }
 
-TEST_CASE("a request that ran well for a while counts half, and is caught later")
+TEST_CASE("a request that had streamed for a while counts half, and is quarantined later")
 {
-    // Most requests at an engine that ends have streamed for seconds; what ends an engine does so as it
-    // begins. One that ends engines late in its run is caught all the same, after six.
+    // Most requests at a crashing engine have streamed for seconds, while the cause of a crash usually has
+    // just started. A request that crashes engines late in its generation is still quarantined, after six
+    // crashes.
     CrashSuspects suspects;
     const TimeMs now{1000};
     for (int end = 0; end < 5; ++end)
@@ -63,25 +64,25 @@
     CHECK(suspects.isQuarantined(Bad, now));
 }
 
-TEST_CASE("a verdict ends after ten minutes, and another daemon's is taken over with its own end")
+TEST_CASE("a quarantine expires after ten minutes, and one from another daemon keeps its own expiry")
 {
-    // The engines' software may have been mended meanwhile. A daemon that takes a verdict over from the store
-    // must not begin the ten minutes anew.
+    // The engines' software may have been fixed meanwhile. A daemon that adopts a quarantine from the store
+    // must not start the ten minutes anew.
     CrashSuspects suspects;
     const TimeMs now{1'000'000};
     CHECK(suspects.quarantine(Bad, now + DurationMs{5000}, now));
     CHECK_FALSE(suspects.quarantine(Bad, now + DurationMs{5000}, now));
     CHECK(suspects.timeLeft(Bad, now).count == 5000);
     CHECK_FALSE(suspects.isQuarantined(Bad, now + DurationMs{5000}));
-    // An end by a clock that is far off does not last for years.
+    // An expiry time from a clock that is far off does not last for years.
     CHECK(suspects.quarantine({2}, now + DurationMs{1'000'000'000}, now));
     CHECK(suspects.timeLeft({2}, now).count <= 600'000);
 }
 
-TEST_CASE("a verdict that an answer has refuted is not taken over again from an old list")
+TEST_CASE("a quarantine that an answer has refuted is not adopted again from an old list")
 {
-    // A stream that ran on while its request was put in quarantine ends whole. The store's list, read twice a
-    // second, still names it.
+    // A stream that continued while its request was quarantined completes. The store's list, read twice a
+    // second, still contains the request.
     CrashSuspects suspects;
     const TimeMs now{1'000'000};
     for (int end = 0; end < 3; ++end)
@@ -92,10 +93,12 @@
     CHECK_FALSE(suspects.isQuarantined(Bad, now + DurationMs{1000}));
 }
 
-TEST_CASE("a million different requests take no more memory than a thousand, and free none from quarantine")
+TEST_CASE(
+    "a million different requests take no more memory than a thousand, and release none from quarantine")
 {
-    // Engines end again and again, each time under other requests: a rack that loses power every few seconds,
-    // or a caller who sends such requests on purpose. What is forgotten first are those with one end.
+    // Engines crash again and again, each time under other requests: a rack that loses power every few
+    // seconds, or a caller who sends such requests on purpose. Requests with a single crash are evicted
+    // first.
     CrashSuspects suspects;
     TimeMs now{1000};
     for (int end = 0; end < 3; ++end)
--- a/tests/endpointcrashes_test.cpp
+++ b/tests/endpointcrashes_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that end under their requests, and what only looks like it.
+// Endpoints that crash under their requests, and failed connections that only look like a crash.
 
 #include "gatewayfixture.h"
 
@@ -16,11 +16,11 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(GatewayFixture, "an endpoint that ends is noted once, with the requests that it had")
+TEST_CASE_FIXTURE(GatewayFixture, "an endpoint that crashes is recorded once, with the requests that it had")
 {
-    // An engine's process ends under two streams: both connections break at once, and a new one is refused.
-    // On call must see that the engine ended, and which requests it had, without putting it together from
-    // broken attempts.
+    // An engine's process exits under two streams: both connections fail at once, and a new one is refused.
+    // The log must state that the engine crashed and which requests it had, so that operators need not infer
+    // it from interrupted attempts.
     endpoints = {endpoints[0]};
     listEndpoints();
     request(Review);
@@ -38,10 +38,11 @@
     CHECK(gateway.counters().of(GatewayCount::EndpointsEnded) == 1);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a connection that breaks is no end of its endpoint")
+TEST_CASE_FIXTURE(GatewayFixture, "a failed connection is not recorded as a crash of its endpoint")
 {
-    // One connection is reset and the engine goes on; another engine's instance is silent, as behind a cut.
-    // Neither has ended. An older question, whether an engine leaves, says nothing about a later break.
+    // One connection is reset while the engine continues; another engine's instance does not reply, as behind
+    // a network partition. Neither has crashed. The reply to an older probe, which asked whether an engine
+    // leaves, says nothing about a later interruption.
     request(Review);
     broken(sent[0].attempt);
     gateway.onEngineProbed({sent[0].endpoint, {}, true, false, {}, EndpointProcess::Runs}, now);
@@ -56,9 +57,10 @@
     CHECK(log.count("endpoint_ended") == 0);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "an endpoint that answers with a later start has ended before")
+TEST_CASE_FIXTURE(GatewayFixture, "an endpoint that answers with a later start time has crashed before")
 {
-    // The process ends and is back at once under its name: whoever answers there now is another life.
+    // The process exits and is restarted at once under its name: whatever answers there now is another
+    // incarnation.
     for (EndpointEntry &entry : endpoints)
         entry.start.unixMs = 1000;
     listEndpoints();
@@ -68,10 +70,10 @@
     CHECK(gateway.counters().of(GatewayCount::EndpointsEnded) == 1);
 }
 
-TEST_CASE("tries of one request have one digest, other requests have others")
+TEST_CASE("retries of one request have the same digest, other requests have others")
 {
-    // A caller's tries differ in id, headers and query; they must be known as the same request. Another path,
-    // body or organisation is another request.
+    // A caller's retries differ in id, headers and query, but must be recognized as the same request. Another
+    // path, body or organisation is another request.
     CallerRequest request;
     request.id = "1";
     request.path = "/review/1";
--- a/tests/endpointincarnations_test.cpp
+++ b/tests/endpointincarnations_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that start again under their name, and entries that other writers leave.
+// Endpoints that restart under their name, and entries that other writers leave.
 
 #include "gatewayfixture.h"
 
@@ -15,10 +15,10 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(GatewayFixture, "an endpoint that left and started again under its name is used again")
+TEST_CASE_FIXTURE(GatewayFixture, "an endpoint that left and restarted under its name is used again")
 {
-    // A plain endpoint leaves and comes back under its name, as a new process. The other one is full then.
-    // Callers must get the new process' places: kept as leaving, it would never serve again.
+    // A plain endpoint leaves and comes back under its name, as a new process, while the other one is full.
+    // Requests must get the slots of the new process: if it were kept as leaving, it would never serve again.
     for (EndpointEntry &entry : endpoints)
         entry.start.unixMs = 1000;
     endpoints[3].leaving = true;
@@ -29,12 +29,12 @@
     endpoints[3].leaving = false;
     listEndpoints();
     request(Order);
-    CHECK(sent.size() == 2); // The same life does not take its leaving back.
+    CHECK(sent.size() == 2); // The same incarnation does not return from leaving.
     endpoints[3].start.unixMs = 2000;
     listEndpoints();
     CHECK(sent.size() == 3);
     CHECK(lastSent().endpoint.value == "p1");
-    // The earlier life's last heartbeat arrives late.
+    // The last heartbeat of the earlier incarnation arrives late.
     endpoints[3].start.unixMs = 1000;
     endpoints[3].leaving = true;
     listEndpoints();
@@ -43,11 +43,11 @@
     CHECK(sent.size() == 4);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "what a new life of an engine is believed to hold starts from nothing")
+TEST_CASE_FIXTURE(GatewayFixture, "a new incarnation of an engine starts without cached parts and load")
 {
-    // Requests with one shared part go to the engine that has read it. It starts again: its memory is empty,
-    // and it has no load. Streams of its earlier life end, also where no reset tells so; one that can be
-    // resumed goes on elsewhere, the other one is cut so that its caller needn't wait for its deadline.
+    // Requests with one shared part go to the engine that has it cached. It restarts with an empty cache and
+    // no load. Streams of its earlier incarnation end even if no connection is reset: one that can be resumed
+    // continues elsewhere, the other one is cut so that its caller need not wait for its deadline.
     for (EndpointEntry &entry : endpoints)
         entry.start.unixMs = 1000;
     listEndpoints();
@@ -63,7 +63,7 @@
     listEndpoints();
     CHECK(gateway.fleet().find(home)->running == 0);
     CHECK(gateway.fleet().find(home)->cachedParts.empty());
-    events(first, 4, 4); // Still under way when the earlier life ended.
+    events(first, 4, 4); // Still in flight when the earlier incarnation exited.
     pass({400});
     CHECK(std::find(cancelled.begin(), cancelled.end(), first) != cancelled.end());
     CHECK(lastSent().endpoint != home);
@@ -82,10 +82,10 @@
     CHECK(streamEnds.at(draft) == false);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "work that was sent to an earlier life may have run")
+TEST_CASE_FIXTURE(GatewayFixture, "a request that was sent to an earlier incarnation may have run")
 {
-    // A call that is not idempotent was sent, then the endpoint starts again. It may have run: the caller
-    // must not be told that it has not, and it goes nowhere else.
+    // A call that is not idempotent was sent, then the endpoint restarts. The call may have run: the caller
+    // must not get an answer that says it has not, and it is not sent elsewhere.
     const CallerId caller = request(Order);
     for (EndpointEntry &entry : endpoints)
         entry.start.unixMs = 2000;
@@ -95,10 +95,10 @@
     CHECK(statusOf(caller) == 502);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "an entry that can't be read stops new work, not what runs")
+TEST_CASE_FIXTURE(GatewayFixture, "an unreadable entry stops new requests, not running ones")
 {
-    // Somebody overwrites an engine's entry. Its stream goes on and is not moved; new requests go elsewhere
-    // until the engine's next heartbeat. An entry of an engine that nobody knows names none.
+    // Another writer overwrites an engine's entry. Its stream continues and is not migrated; new requests go
+    // elsewhere until the engine's next heartbeat. An unreadable entry of an unknown engine adds no endpoint.
     const CallerId caller = request(Draft);
     const EndpointId home = lastSent().endpoint;
     const AttemptId attempt = lastSent().attempt;
@@ -137,7 +137,7 @@
 }
 
 TEST_CASE_FIXTURE(GatewayFixture,
-                  "an entry without the start that its endpoint has stated is another writer's")
+                  "an entry without the start time that its endpoint has stated is another writer's")
 {
     endpoints[3].start.unixMs = 1000;
     listEndpoints();
@@ -148,7 +148,7 @@
     CHECK(lastSent().endpoint.value == "p2");
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "an engine's report of a new life goes before an old list")
+TEST_CASE_FIXTURE(GatewayFixture, "an engine's report of a new incarnation takes precedence over an old list")
 {
     for (EndpointEntry &entry : endpoints)
         entry.start.unixMs = 1000;
@@ -165,14 +165,14 @@
 
 namespace {
 
-// One endpoint and all that can happen around its lives, in every order up to a depth.
+// One endpoint and all events around its incarnations, in every order up to a depth.
 struct Lives {
     EndpointFleet fleet;
     TimeMs now{10'000};
-    int64_t newestTold = 0; ///< Start that the list or a report has told.
+    int64_t newestTold = 0; ///< Newest start time in a list or a report.
     bool newestLeaves = false;
     bool unreadable = false;
-    std::vector<EndpointLife> open; ///< Attempts, by the life that they were sent to.
+    std::vector<EndpointLife> open; ///< Open attempts, by the incarnation that they were sent to.
 };
 
 const ServiceName plain{"plain"};
@@ -265,11 +265,11 @@
 
 } // namespace
 
-TEST_CASE("lives of one endpoint: entries, reports, work and its ends in every order")
+TEST_CASE("incarnations of one endpoint: entries, reports, requests and their ends in every order")
 {
-    // Lists come late and out of order, entries are overwritten, reports overtake them, and answers of
-    // earlier lives come at any time. Whatever the order: the newest life counts, only its own work is its
-    // load, and nothing is sent to one that leaves or whose entry can't be read. 8 steps, all orders of 6 of
-    // them.
+    // Lists arrive late and out of order, entries are overwritten, reports overtake them, and answers of
+    // earlier incarnations arrive at any time. In any order, the newest incarnation counts, only its own
+    // requests are its load, and nothing is sent to one that leaves or whose entry can't be read. 8 steps,
+    // all sequences of 6 of them.
     explore(Lives{}, 6);
 }
--- a/tests/endpointlimits_explorer_test.cpp
+++ b/tests/endpointlimits_explorer_test.cpp
@@ -1,4 +1,4 @@
-// One endpoint that names a limit, many daemons that all want more of it, in virtual time.
+// One limited endpoint and many daemons that all want more than its rate, in virtual time.
 #include "common/random.h"
 #include "gateway/endpoints/endpointlimiter.h"
 #include "gateway/peers/peertable.h"
@@ -28,24 +28,24 @@
 
 const EndpointLife endpoint{EndpointId{"i-1"}, {}};
 
-/// How the daemons go by what the endpoint takes.
+/// How the daemons keep the endpoint's limit.
 enum class Way : uint8_t {
-    Coordinator, ///< The one that is built.
-    EqualParts, ///< Each sends its part of the rate.
-    EachForItself ///< Each sends the whole rate.
+    Coordinator, ///< As implemented.
+    EqualParts, ///< Each daemon sends an equal part of the rate.
+    EachForItself ///< Each daemon sends the full rate.
 };
 
 struct World {
     size_t daemons = 6;
-    size_t serving = 6; ///< The rest stands by: it is told nothing, and has few requests.
+    size_t serving = 6; ///< The others are standby daemons: they get no updates, and have few requests.
     double perSecond = 1;
-    double demand = 30; ///< Requests a second that all daemons together would send there.
+    double demand = 30; ///< Requests per second that all daemons together would send to the endpoint.
     Way way = Way::Coordinator;
-    bool tells = true; ///< Daemons tell each other of the limit.
+    bool tells = true; ///< Daemons send each other limit updates.
     uint64_t lossPercent = 0;
 };
 
-/// Plays a world, with what tests do to its daemons.
+/// Simulates a scenario, with the faults that tests inject into its daemons.
 class LimitPlay
 {
 public:
@@ -77,15 +77,15 @@
         daemons_[i]->awayUntil = now + away;
     }
     void freeze(size_t i, DurationMs away) { daemons_[i]->awayUntil = now + away; }
-    /// What the endpoint takes while it says so.
+    /// Requests per second that the endpoint got once the limit had settled.
     double used() const { return static_cast<double>(settled_) / std::max(settledSeconds(), 0.001); }
     double allowed() const { return 1.5 * world_.perSecond * 4 + 5; }
 
     Random &random() { return random_; }
     TimeMs now{100'000};
-    std::vector<uint32_t> group; ///< Daemons hear those of their own group.
-    size_t most = 0; ///< In any window, from daemons that were told.
-    size_t mostAtOnce = 0; ///< In any window, from all.
+    std::vector<uint32_t> group; ///< Daemons receive messages only from those of their own group.
+    size_t most = 0; ///< Max requests in any window from daemons that had been notified of the limit.
+    size_t mostAtOnce = 0; ///< Max requests in any window from all daemons.
 
 private:
     struct Daemon {
@@ -102,7 +102,7 @@
         TimeMs startedAt;
         uint64_t sequence = 0;
         uint32_t queued = 0;
-        double tokens = 0; ///< Of the ways that need no coordinator.
+        double tokens = 0; ///< Token bucket of the strategies without a coordinator.
     };
     struct Answer {
         size_t to = 0;
@@ -219,7 +219,7 @@
     {
         std::vector<MemberEntry> members;
         for (size_t j = 0; j < world_.daemons; ++j) {
-            // A killed daemon's entry stands until its lease is over.
+            // A killed daemon stays listed until its lease expires.
             const bool isListed = now >= daemons_[j]->awayUntil || now - daemons_[j]->startedAt < LeaseTime;
             if (isListed && (serves(j) || daemons_[j].get() == &daemon))
                 members.push_back(
@@ -285,8 +285,8 @@
     uint64_t incarnations_ = 0;
     std::deque<Envelope> messages_;
     std::deque<Answer> answers_;
-    std::deque<std::pair<TimeMs, bool>>
-        arrivals_; ///< Of the newest window; true: from a daemon that was told.
+    /// Requests in the newest window; true: from a daemon that had been notified of the limit.
+    std::deque<std::pair<TimeMs, bool>> arrivals_;
     std::optional<TimeMs> namedAt_;
     size_t settled_ = 0;
 };
@@ -303,8 +303,9 @@
 
 } // namespace
 
-// Guards against a sum over many daemons, told of each other's words or not, beyond what the endpoint takes.
-TEST_CASE("the sum over all daemons is kept, however many they are")
+// Guards against a sum over many daemons, with or without updates between them, that exceeds the endpoint's
+// limit.
+TEST_CASE("the sum over all daemons stays within the limit, however many they are")
 {
     struct Size {
         size_t daemons;
@@ -319,7 +320,7 @@
                 LimitPlay play(world, 1);
                 play.pass({20000});
                 INFO(fmt::format(
-                    "{} daemons, {} serve, {}/s, tell each other: {}, most {} (from all {}), {:.2f} used",
+                    "{} daemons, {} serving, {}/s, updates: {}, max {} (from all {}), {:.2f} used",
                     size.daemons, size.serving, perSecond, tells, play.most, play.mostAtOnce, play.used()));
                 CHECK(static_cast<double>(play.most) <= play.allowed());
             }
@@ -327,8 +328,8 @@
     }
 }
 
-// Guards against an endpoint in need that is left with a small part of what it takes.
-TEST_CASE("what the endpoint takes is used, however many daemons there are")
+// Guards against a limited endpoint that gets only a small part of its rate.
+TEST_CASE("the endpoint's rate is used, however many daemons there are")
 {
     for (const size_t daemons : {2, 19, 71}) {
         LimitPlay play(worldOf(daemons, daemons, 2), 1);
@@ -339,8 +340,9 @@
     }
 }
 
-// Guards against cuts, kills, standstills and losses after which two daemons share out the whole.
-TEST_CASE("the limit holds through cuts, kills, standstills and losses")
+// Guards against network partitions, kills, process pauses and lost datagrams after which two daemons both
+// grant the full rate.
+TEST_CASE("the limit holds through partitions, kills, pauses and losses")
 {
     for (uint64_t seed = 1; seed <= 60; ++seed) {
         World world = worldOf(6, 6, seed % 3 == 0 ? 10 : 1);
@@ -367,13 +369,13 @@
             }
             play.pass({static_cast<int64_t>(200 + play.random().below(4000))});
         }
-        INFO("seed " << seed << " most " << play.most);
+        INFO("seed " << seed << " max " << play.most);
         CHECK(static_cast<double>(play.most) <= play.allowed());
     }
 }
 
-// Guards against parts or copies of the rate at each daemon: they leave most of it unused, or add up.
-TEST_CASE("neither equal parts nor each for itself keeps one request a second over many daemons")
+// Guards against splitting or copying the rate to each daemon: most of it is unused, or the sum exceeds it.
+TEST_CASE("neither equal parts nor uncoordinated daemons keep one request a second over many daemons")
 {
     const auto playWay = [](Way way) {
         World world = worldOf(19, 19, 1);
--- a/tests/endpointlimits_test.cpp
+++ b/tests/endpointlimits_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints that say with their answers how many requests a second they take from all daemons together.
+// Endpoints that state in their answers how many requests per second they take from all daemons together.
 #include "engineload.h"
 
 #include "gateway/peers/peerdatagrams.h"
@@ -14,7 +14,8 @@
 const Address otherDaemon{"10.0.0.2", 2};
 const Address thirdDaemon{"10.0.0.2", 3};
 
-/// Nine engines with three requests a second each, through so many daemons; some of them name a limit.
+/// Nine engines with a load of three requests a second each, sent through `daemons` daemons; `limited`
+/// engines state a limit.
 LoadPlan limitedPlan(size_t daemons, size_t limited, double perSecond, uint64_t seed)
 {
     LoadPlan plan;
@@ -29,11 +30,11 @@
     return plan;
 }
 
-/// A limiter, told of a limit, in virtual time.
+/// A limiter with a stated limit, in virtual time.
 class LimiterFixture
 {
 public:
-    /// Lets time pass; what the coordinator has granted to others by then.
+    /// Advances the time; returns the number of requests that the coordinator granted to other daemons.
     uint32_t pass(DurationMs duration)
     {
         uint32_t granted = 0;
@@ -56,7 +57,7 @@
     std::vector<EndpointLimiter::Grant> shares;
 };
 
-/// The fixture's daemon, alone, with the limits of its two plain endpoints.
+/// A single daemon with limits on its two plain endpoints.
 class LimitedGatewayFixture : public GatewayFixture
 {
 public:
@@ -68,7 +69,7 @@
         gateway.onMembers(members, now);
     }
 
-    /// An answer of the endpoint that has the attempt, with or without a limit.
+    /// Answers the attempt in place of its endpoint, with or without a limit.
     void answer(const SendAttempt &attempt, std::optional<RequestRate> limit, int status = 200)
     {
         AttemptHead answered;
@@ -81,7 +82,7 @@
         drainActions();
     }
 
-    /// Both plain endpoints name a limit.
+    /// Makes both plain endpoints state a limit.
     void limitPlain(double perSecond)
     {
         request("/lookup/1");
@@ -105,10 +106,10 @@
 
 } // namespace
 
-// ---- Many daemons, one load ----
+// ---- Load on many daemons ----
 
-// Guards against an engine in need that gets more than it takes because no daemon goes by the limit it names.
-TEST_CASE("engines that name a limit get no more than that from all daemons together")
+// Guards against exceeding the limit of an overloaded engine because daemons ignore it.
+TEST_CASE("engines that state a limit get no more than that from all daemons together")
 {
     for (const size_t daemons : {size_t{1}, size_t{2}, size_t{6}, size_t{19}}) {
         for (const uint64_t seed : {1U, 2U, 3U}) {
@@ -119,8 +120,8 @@
     }
 }
 
-// Guards against the excess moving on to the engines beside the limited ones.
-TEST_CASE("callers are served as before when two engines of nine name a limit")
+// Guards against overloading the other engines with the load that limited engines don't take.
+TEST_CASE("callers are served as before when two engines of nine state a limit")
 {
     for (const uint64_t seed : {1U, 2U, 3U}) {
         const LoadResult result = playLoad(limitedPlan(6, 2, 1, seed));
@@ -130,8 +131,8 @@
     }
 }
 
-// Guards against a limit that is kept by leaving endpoints unused: each daemon has too little of it.
-TEST_CASE("where all engines name limits, what they take is used by however many daemons")
+// Guards against keeping limits by leaving endpoints unused, because each daemon's share is too small.
+TEST_CASE("where all engines state limits, their rate is used with any number of daemons")
 {
     for (const size_t daemons : {size_t{1}, size_t{6}, size_t{19}, size_t{71}}) {
         const LoadResult result = playLoad(limitedPlan(daemons, 9, 2, 1));
@@ -141,7 +142,7 @@
     }
 }
 
-// Guards against lost datagrams that let an endpoint get more, or nothing.
+// Guards against lost datagrams that let an endpoint get too many requests, or none.
 TEST_CASE("a limit holds while a third of the datagrams between daemons is lost")
 {
     for (const uint64_t seed : {1U, 2U, 3U}) {
@@ -154,10 +155,11 @@
     }
 }
 
-// ---- One limiter ----
+// ---- A single limiter ----
 
-// Guards against a coordinator that grants more than the endpoint's rate and what little it may save up.
-TEST_CASE_FIXTURE(LimiterFixture, "a coordinator shares out the rate and no more")
+// Guards against a coordinator that grants more than the endpoint's rate plus the small burst that it may
+// save up.
+TEST_CASE_FIXTURE(LimiterFixture, "a coordinator grants the rate and no more")
 {
     name(2);
     uint32_t granted = 0;
@@ -169,8 +171,8 @@
     CHECK(granted <= 22);
 }
 
-// Guards against one daemon that takes all while the others' callers are refused.
-TEST_CASE_FIXTURE(LimiterFixture, "those that wait are served in turn, the coordinator among them")
+// Guards against one daemon that gets all grants while the others' callers are refused.
+TEST_CASE_FIXTURE(LimiterFixture, "waiting daemons are served in turn, the coordinator among them")
 {
     name(2);
     for (uint64_t number = 1; number <= 60; ++number) {
@@ -189,8 +191,8 @@
     CHECK(granted[thirdDaemon] >= 3);
 }
 
-// Guards against two daemons that both share out the whole while the role passes from one to the other.
-TEST_CASE_FIXTURE(LimiterFixture, "a new coordinator waits until nothing that was granted before it is left")
+// Guards against two daemons that both grant the full rate while the coordinator changes.
+TEST_CASE_FIXTURE(LimiterFixture, "a new coordinator waits until all earlier grants have expired")
 {
     coordinates = false;
     name(5);
@@ -212,8 +214,8 @@
     CHECK(granted > 0);
 }
 
-// Guards against a daemon that stood still, is the coordinator no more, and goes on with what it had saved.
-TEST_CASE_FIXTURE(LimiterFixture, "a coordinator that stood still begins anew")
+// Guards against a daemon that was paused, is no longer the coordinator, and still uses its saved grants.
+TEST_CASE_FIXTURE(LimiterFixture, "a coordinator that was paused starts anew")
 {
     name(5);
     pass({3000});
@@ -223,8 +225,8 @@
     CHECK_FALSE(limiter.maySend(now));
 }
 
-// Guards against grants that are used twice, or long after the coordinator has shared out the next ones.
-TEST_CASE_FIXTURE(LimiterFixture, "a grant is taken once, and in time")
+// Guards against grants that are used twice, or long after the coordinator has granted the next ones.
+TEST_CASE_FIXTURE(LimiterFixture, "a grant is used once, and in time")
 {
     coordinates = false;
     name(1);
@@ -249,8 +251,9 @@
     CHECK_FALSE(limiter.maySend(now));
 }
 
-// Guards against a limit that an older answer lifts: all daemons would be back at once.
-TEST_CASE_FIXTURE(LimiterFixture, "only an answer to a request that was sent since lifts a limit")
+// Guards against an older answer that lifts a limit and brings back the load of all daemons at once.
+TEST_CASE_FIXTURE(LimiterFixture,
+                  "only an answer to a request that was sent after a limit was stated lifts it")
 {
     const TimeMs before = now;
     now = now + DurationMs{100};
@@ -260,15 +263,15 @@
     for (int i = 0; i < 4; ++i)
         CHECK(limiter.stated.hear(std::nullopt, now + DurationMs{10}, now + DurationMs{50}));
     CHECK_FALSE(limiter.stated.limit());
-    // What another daemon heard before that does not bring it back.
+    // What another daemon learned before that does not restore the limit.
     CHECK_FALSE(limiter.stated.learn({engine, RequestRate{1}, 0, {80}, {500}}, now + DurationMs{60}));
     CHECK(limiter.stated.learn({engine, RequestRate{2}, 0, {1}, {1}}, now + DurationMs{60}));
     CHECK(limiter.stated.limit() == RequestRate{2});
 }
 
-// Guards against answers that leave the limit out by chance, and bring all daemons back at once.
+// Guards against answers that omit the limit by chance and bring back the load of all daemons at once.
 TEST_CASE_FIXTURE(LimiterFixture,
-                  "a limit is lifted step by step, and the next answer that names it restores it")
+                  "a limit is lifted step by step, and the next answer that states it restores it")
 {
     name(1);
     for (const double perSecond : {2.0, 4.0, 8.0}) {
@@ -286,8 +289,8 @@
     CHECK(other.stated.perSecond() == 2);
 }
 
-// Guards against kinds of answers, failures for instance, that never name the limit.
-TEST_CASE("a limit holds though one answer in seven does not name it")
+// Guards against kinds of answers, for instance failures, that never state the limit.
+TEST_CASE("a limit holds though one answer in seven does not state it")
 {
     for (const uint64_t seed : {1U, 2U, 3U}) {
         LoadPlan plan = limitedPlan(6, 9, 1, seed);
@@ -298,8 +301,9 @@
     }
 }
 
-// Guards against an endpoint that takes nothing for now, and so can never say that it is well again.
-TEST_CASE_FIXTURE(LimiterFixture, "an endpoint that takes nothing is tried now and then")
+// Guards against an endpoint with a zero limit that never gets a request, and so can never state that it has
+// recovered.
+TEST_CASE_FIXTURE(LimiterFixture, "an endpoint with a zero limit still gets an occasional request")
 {
     name(0);
     uint32_t tries = 0;
@@ -314,8 +318,8 @@
     CHECK(tries <= 4);
 }
 
-// Guards against a daemon that lost the first words on a limit, and goes on.
-TEST_CASE_FIXTURE(LimiterFixture, "the others are told of a limit at once, again, and reminded")
+// Guards against a daemon that lost the first updates on a limit and exceeds it.
+TEST_CASE_FIXTURE(LimiterFixture, "peers are notified of a limit at once, again, and reminded")
 {
     name(1);
     std::vector<int64_t> toldAfter;
@@ -328,8 +332,9 @@
     CHECK(toldAfter == std::vector<int64_t>{0, 300, 600, 5600, 10600});
 }
 
-// Guards against daemons that disagree on who shares out what an endpoint takes, and one that does it all.
-TEST_CASE("all daemons name the same coordinator, and coordinators are spread")
+// Guards against daemons that disagree on the coordinator of an endpoint, and one that coordinates all of
+// them.
+TEST_CASE("all daemons choose the same coordinator, and coordinators are evenly distributed")
 {
     std::vector<MemberEntry> members(18);
     std::vector<const MemberEntry *> forward;
@@ -351,10 +356,11 @@
     CHECK(coordinatorOf(engine, {}) == nullptr);
 }
 
-// ---- One daemon ----
+// ---- A single daemon ----
 
 // Guards against callers that wait until their deadline for endpoints that can't take them in time.
-TEST_CASE_FIXTURE(LimitedGatewayFixture, "what limited endpoints can't take in its time is refused at once")
+TEST_CASE_FIXTURE(LimitedGatewayFixture,
+                  "what limited endpoints can't take before its deadline is refused at once")
 {
     limitPlain(1);
     pass({1000});
@@ -374,13 +380,13 @@
     }
     CHECK(refused >= 6);
     CHECK(refused < 12);
-    // The others are sent within their time.
+    // The others are sent before their deadlines.
     pass({1475});
     CHECK(sent.size() + refused == 12);
 }
 
-// Guards against a limit that outlives the need: answers without it are its end.
-TEST_CASE_FIXTURE(LimitedGatewayFixture, "answers without a limit end it")
+// Guards against a limit that is never lifted: answers without a limit end it.
+TEST_CASE_FIXTURE(LimitedGatewayFixture, "answers without a limit lift it")
 {
     limitPlain(1);
     pass({2000});
@@ -398,8 +404,8 @@
     CHECK(sent.size() == 4);
 }
 
-// Guards against the word of another endpoint that has taken over the address.
-TEST_CASE_FIXTURE(LimitedGatewayFixture, "an answer of another instance says nothing of this one's limit")
+// Guards against the limit of another endpoint that has taken over the address.
+TEST_CASE_FIXTURE(LimitedGatewayFixture, "an answer of another instance does not set this one's limit")
 {
     request("/lookup/1");
     answer(sent[0], RequestRate{1}, 421);
@@ -407,7 +413,7 @@
 }
 
 // Guards against a limit that outlives its process.
-TEST_CASE_FIXTURE(LimitedGatewayFixture, "an endpoint that starts again under its name has no limit")
+TEST_CASE_FIXTURE(LimitedGatewayFixture, "an endpoint that restarts under its name has no limit")
 {
     limitPlain(1);
     for (EndpointEntry &entry : endpoints)
@@ -418,8 +424,8 @@
     CHECK(sent.size() == 4);
 }
 
-// Guards against repeats that walk past the limit.
-TEST_CASE_FIXTURE(LimitedGatewayFixture, "a repeat goes to no limited endpoint without its share")
+// Guards against retries that bypass the limit.
+TEST_CASE_FIXTURE(LimitedGatewayFixture, "a retry goes to no limited endpoint without a grant")
 {
     request("/lookup/1");
     request("/lookup/2");
@@ -429,8 +435,9 @@
     CHECK(sent.size() == 2);
 }
 
-// Guards against runs that leave a reclaimed engine for one that takes only so many.
-TEST_CASE_FIXTURE(LimitedGatewayFixture, "a run moves to a limited engine only with a share, counted once")
+// Guards against generations that migrate from a reclaimed engine to a limited one without a grant.
+TEST_CASE_FIXTURE(LimitedGatewayFixture,
+                  "a generation migrates to a limited engine only with a grant, counted once")
 {
     configuration->services[0].engine->movesRuns = true;
     for (int i = 0; i < 12; ++i) {
@@ -451,7 +458,7 @@
     const auto atFirst = std::count_if(
         sent.begin(), sent.end(), [](const SendAttempt &attempt) { return attempt.endpoint.value == "m1"; });
     REQUIRE(atFirst > 3);
-    // Time for each of the two to have one to spare, while the streams go on.
+    // Time for each of the two to save up one grant, while the streams continue.
     for (uint64_t event = 4; event <= 6; ++event) {
         pass({600});
         for (const SendAttempt &attempt : std::vector<SendAttempt>(sent))
@@ -478,8 +485,8 @@
     CHECK(moves.size() == 2);
 }
 
-// Guards against words that are not what was said, or that end the process.
-TEST_CASE("words on limits come through a datagram, and nothing else does")
+// Guards against limit messages that are altered by the encoding, or that crash the process.
+TEST_CASE("limit messages are encoded and decoded, and malformed ones are rejected")
 {
     const LimitNotice notice{
         {{engine, RequestRate{1.1}, 2, {250}, {900}}, {engine, std::nullopt, 0, {0}, {0}}}};
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -1,4 +1,5 @@
-// The daemon with the project's own interface: a request that ends each endpoint that begins to run it.
+// The daemon's core, with the project's own protocol: a request that crashes each endpoint that starts to run
+// it.
 
 #include "onedaemon.h"
 
@@ -7,10 +8,10 @@
 using namespace cranberry;
 
 TEST_CASE(
-    "a request that ended three endpoints is sent to no further one, and its callers know when to return")
+    "a request that crashed three endpoints is sent to no further one, and its callers know when to return")
 {
-    // Each endpoint that begins to run the request ends. It was repeated at six, and each new try of its
-    // caller took six more. Others that ask meanwhile are served.
+    // Each endpoint that starts to run the request crashes. Without a quarantine the request was retried at
+    // six endpoints, and each further try of its caller crashed six more. Other callers must still be served.
     OneDaemon daemon;
     const CallerId first = daemon.submit("bad");
     daemon.failAttempts("bad", 100, {10000});
@@ -30,10 +31,10 @@
     CHECK(daemon.answered.contains(other));
 }
 
-TEST_CASE("a request whose endpoints end by themselves is answered")
+TEST_CASE("a request whose endpoints crash on their own is answered")
 {
-    // Two endpoints end, one after the other, while they have the request; the third one answers it. The two
-    // ends must not count against its next try, which meets one more.
+    // Two endpoints crash, one after the other, while they have the request; the third one answers it. The
+    // two crashes must not count against the next try, which meets one more.
     OneDaemon daemon;
     const CallerId first = daemon.submit("plain");
     daemon.failAttempts("plain", 2, {6000});
@@ -47,10 +48,10 @@
     CHECK(daemon.answered.contains(second));
 }
 
-TEST_CASE("connections that break are no ends")
+TEST_CASE("failed connections are not counted as crashes")
 {
-    // The endpoints run on, as when a part of the network loses connections: the request is repeated as often
-    // as before, and a later try of it is taken.
+    // The endpoints continue to run, as when a part of the network loses connections: the request is retried
+    // as often as before, and a later try of it is accepted.
     OneDaemon daemon;
     daemon.phase = FailurePhase::AfterSend;
     const CallerId first = daemon.submit("plain");
@@ -62,10 +63,11 @@
     CHECK(daemon.answered.contains(second));
 }
 
-TEST_CASE("requests that were taken over from other daemons are told apart")
+TEST_CASE("requests that were taken over from other daemons are distinguished")
 {
-    // A leaving daemon hands its requests over. Endpoints end by themselves under three of them, one each;
-    // none of them ended more than that one. A fourth request is taken over: it must be sent to an endpoint.
+    // A leaving daemon hands its requests over. Endpoints crash on their own under three of them, one each;
+    // no request had more than that one crash. A fourth request is taken over: it must be sent to an
+    // endpoint.
     OneDaemon daemon;
     for (const char *body : {"first", "second", "third"}) {
         daemon.takeOver(body);
@@ -77,7 +79,7 @@
     CHECK(daemon.failed == 4);
 }
 
-TEST_CASE("a request that ended three endpoints is not sent on by the daemon that takes it over")
+TEST_CASE("a request that crashed three endpoints is not sent on by the daemon that takes it over")
 {
     OneDaemon daemon;
     daemon.submit("bad");
