--- a/src/gateway/peers/entrychoice.cpp
+++ b/src/gateway/peers/entrychoice.cpp
@@ -6,22 +6,24 @@
 
 namespace {
 
-/// The chosen ones are used to half at most, so that they carry a burst until the choice grows.
+/// Cores chosen per core in use: the chosen daemons are loaded to half at most, so that they absorb a burst
+/// until the choice grows.
 constexpr double CoresForEachUsed = 2;
-/// Of instances that are alike more are taken: callers keep their answers for a while, so a choice that is
-/// too small is felt for long. All of them, up to a number that can tell each other of their load several
-/// times a second; above that, those that are used to a quarter.
+/// Of similar instances more are taken, because callers cache the addresses and a choice that is too small
+/// has effect for long. All are taken up to this number, with which the daemons can still exchange load
+/// reports several times a second; beyond it, only as many as keep the load at a quarter
+/// (`SimilarCoresPerUsedCore`).
 constexpr size_t LikeEntries = 24;
 constexpr double LikeCoresForEachUsed = 4;
-/// Instances of this part of another one's strength count as its like.
+/// An instance is similar to another one if it has at least this fraction of its cores.
 constexpr double LikePart = 0.7;
 
-/// Between two choices the lists of a start grow; a daemon that falls out of one choice is needed in the next
-/// one more often than not.
+/// Time for which the choices must differ before the role changes. While member lists still grow after a
+/// start, a daemon that drops out of one choice is usually part of the next.
 constexpr DurationMs ServesAfter{400};
 constexpr DurationMs StandsByAfter{10000};
 
-// Those that serve by now go first among alike ones, so that the choice stays as it is.
+// Among instances of equal strength, serving daemons come first, so that the choice stays stable.
 bool isBefore(const EntryCandidate &a, const EntryCandidate &b)
 {
     if (a.cores != b.cores)
@@ -36,7 +38,7 @@
     std::sort(candidates.begin(), candidates.end(), isBefore);
     std::vector<Address> out;
     double cores = 0;
-    double weakest = 0; // Of those taken.
+    double weakest = 0; // Cores of the weakest candidate taken.
     for (const EntryCandidate &candidate : candidates) {
         const bool isLike = candidate.cores >= LikePart * weakest;
         const size_t least = isLike ? LikeEntries : LeastEntries;
--- a/src/gateway/peers/entrychoice.h
+++ b/src/gateway/peers/entrychoice.h
@@ -8,40 +8,41 @@
 
 namespace cranberry {
 
-/// Callers are sent to so many daemons at least, if there are so many: the loss of one costs its share of the
-/// streams.
+/// Minimum number of daemons that callers are sent to, if there are that many. It bounds the share of the
+/// streams that the loss of one daemon costs.
 constexpr size_t LeastEntries = 8;
 
-/// A daemon that callers could be sent to.
+/// A daemon that may be advertised to callers.
 struct EntryCandidate {
     Address address;
-    double cores = 1; ///< Of its instance, as far as it may use them.
-    bool serving = false; ///< Callers are sent to it by now.
+    double cores = 1; ///< Cores of its instance that the daemon may use.
+    bool serving = false; ///< The daemon is currently advertised to callers.
 };
 
-/// The daemons that callers are told to use, out of those that are ready.
+/// Selects the addresses advertised to callers from the daemons that are ready.
 ///
-/// The strongest classes of instances that carry the load to spare: callers pick among the addresses evenly,
-/// and would load a weak instance as much as a strong one. Of a class all, as long as these are few. Fewer
-/// daemons also keep more connections to endpoints in use, know better what these hold, and have more of each
-/// limit in one place. All daemons that know the same candidates choose the same.
+/// Takes the instances with the most cores until they carry the load with capacity to spare: callers pick an
+/// address uniformly, so a weak instance would get as much load as a strong one. Instances of similar
+/// strength are all taken while they are few. Fewer daemons also reuse more connections to endpoints, know
+/// better what these cache, and hold more of each limit in one place. All daemons that know the same
+/// candidates make the same choice.
 std::vector<Address> chooseEntries(std::vector<EntryCandidate> candidates, double coresUsed);
 
-/// Whether this daemon is one of those that serve, from the choices of the last seconds.
+/// Decides from the choices of the last seconds whether this daemon serves or is on standby.
 ///
-/// Becoming one takes two choices in a row, since the first lists after a start are not whole. Giving up
-/// takes longer: callers keep their answers for a while, and a new one has no limits in hand and knows
-/// nothing of what endpoints hold.
+/// It starts to serve after two equal choices in a row, since the first member lists after a start are
+/// incomplete. It stops only after a longer time: callers cache the addresses for a while, and a daemon that
+/// starts to serve has no share of the limits and does not know what the endpoints cache.
 class ServingRole
 {
 public:
-    /// A choice was made, or told by another daemon.
+    /// Records a choice that this daemon made or received from a peer.
     void note(bool chosen, TimeMs now);
     bool serves() const { return serves_; }
 
 private:
     bool serves_ = false;
-    std::optional<TimeMs> otherSince_; ///< The choices differ from `serves_` since then.
+    std::optional<TimeMs> otherSince_; ///< Time since which the choices differ from `serves_`.
 };
 
 } // namespace cranberry
--- a/src/gateway/peers/fleetview.cpp
+++ b/src/gateway/peers/fleetview.cpp
@@ -4,7 +4,8 @@
 
 namespace cranberry {
 
-// The holder of the duties orders engines: it reads the list itself, without a way round, if it can.
+// The leader orders engines, so it reads the endpoint list from the store itself, not through a peer,
+// whenever it can.
 void FleetView::beforeStoreTick(TimeMs now)
 {
     const std::set<Address> silent = sync_.silentSources(now);
--- a/src/gateway/peers/fleetview.h
+++ b/src/gateway/peers/fleetview.h
@@ -6,24 +6,26 @@
 
 namespace cranberry {
 
-/// Joins what a daemon learns of the store and of the other daemons with what it tells them.
+/// Passes what a daemon learns from the store and its peers to the gateway, and schedules its load reports.
 ///
-/// No sockets, no clock: the caller runs the parts' ticks, and sends a report to each address that is
-/// returned.
+/// It uses no sockets and no clock: the caller runs the ticks of the parts and sends a report to each address
+/// that is returned.
 class FleetView
 {
 public:
     FleetView(StoreSync &sync, Gateway &gateway) : sync_(sync), gateway_(gateway) { }
 
-    /// Settles whether this daemon reads the store or asks another one, and tells the store's part which
-    /// requests are kept from endpoints. Due before each of its ticks.
+    /// Decides whether this daemon reads the store or queries a peer, and passes the quarantine list to the
+    /// store sync. Must be called before each tick of the store sync.
     void beforeStoreTick(TimeMs now);
-    /// Passes on what was learned since the last call. Returns the reports that don't wait for their turn.
+    /// Passes on what was learned since the last call. Returns the reports that are sent at once instead of
+    /// at their scheduled time.
     ReportSchedule::Due takeNews(TimeMs now);
-    /// The reports that are due at this tick.
+    /// Returns the reports that are due at this tick.
     ReportSchedule::Due dueReports(TimeMs now);
-    /// Where callers are to connect. `own`: this daemon, if it is ready. The choice also settles whether it
-    /// serves, and what daemons that ask are told.
+    /// Returns the addresses that callers should connect to. `own` is this daemon as a candidate, if it is
+    /// ready. The choice also updates whether this daemon serves and which addresses it sends to the peers
+    /// that query it.
     std::vector<Address> entryAddresses(const EntryCandidate &own, double ownCoresUsed, TimeMs now);
 
 private:
--- a/src/gateway/peers/memberentry.cpp
+++ b/src/gateway/peers/memberentry.cpp
@@ -11,7 +11,8 @@
 
 namespace json = boost::json;
 
-/// While none serves. Enough for some to be lost; few enough that a start of hundreds soon changes none.
+/// Maximum number of members sent to peers while no daemon serves. Enough to tolerate the loss of some, and
+/// few enough that the list soon stays the same when hundreds of daemons start.
 constexpr size_t MembersToldAtStart = 24;
 
 } // namespace
--- a/src/gateway/peers/memberentry.h
+++ b/src/gateway/peers/memberentry.h
@@ -4,21 +4,23 @@
 
 namespace cranberry {
 
-/// A member's entry as text, and back. Nothing is returned for text that is no member's.
+/// Converts a member's entry to the text stored for it and back. Returns nothing for text that is not a valid
+/// entry.
 std::string memberText(const MemberEntry &member);
 std::optional<MemberEntry> memberFromText(const std::string &instance, const std::string &text);
 
-/// The order in which daemons are preferred where strength counts: all daemons order alike.
+/// Orders members by cores, then by incarnation. All daemons use the same order.
 bool isStronger(const MemberEntry &a, const MemberEntry &b);
 
-/// Members that daemons which ask are told: those that serve, or the strongest while none does. The others
-/// come and go unnoticed: with hundreds of them each change would make all read the store.
+/// Members that are sent to daemons that query this one: those that serve, or the ones with the most cores
+/// while none serves. Changes among the others are not announced: with hundreds of standby daemons, each
+/// change would make all of them read the store.
 std::vector<MemberEntry> toldMembers(const std::vector<MemberEntry> &members);
 
-/// Of what daemons tell each other of the shared keys: version of the configuration, members as told, leader.
+/// Digest of the shared keys that daemons exchange: configuration version, advertised members and leader.
 uint64_t digestOfShared(uint64_t version, const std::vector<MemberEntry> &members, const LeaderEntry &leader);
 
-/// The instance that a leader's entry names; empty if it names none.
+/// Returns the instance that a leader's entry names, or an empty name if it names none.
 InstanceName holderOf(const LeaderEntry &leader);
 
 } // namespace cranberry
--- a/src/gateway/peers/peerdatagrams.cpp
+++ b/src/gateway/peers/peerdatagrams.cpp
@@ -12,10 +12,11 @@
 
 namespace json = boost::json;
 
-/// Figures above this go without their fraction.
+/// From this value on, numbers are sent without their fraction.
 constexpr double WholeFrom = 1000;
 
-// With its fraction a figure takes 22 bytes of text, and reports are most of what daemons send each other.
+// Shortens numbers: with its full fraction one takes 22 bytes of text, and reports are most of the traffic
+// between daemons.
 json::value compact(double figure)
 {
     if (std::abs(figure) >= WholeFrom)
@@ -39,7 +40,8 @@
             compact(readings.tokensMs)};
 }
 
-/// Rows are arrays, not objects: a report goes to every daemon several times a second.
+/// Encodes rows as arrays rather than objects to save bytes: a report goes to every serving daemon several
+/// times a second.
 json::array rowsOf(const PeerReport &report, const char *which)
 {
     json::array rows;
@@ -62,7 +64,7 @@
     return rows;
 }
 
-/// A row for each route: names are longer than the counts.
+/// Groups the counts into one row per route, since the names take more bytes than the counts.
 json::array rowsOf(const std::vector<TrialCount> &counts)
 {
     std::map<std::array<std::string, 3>, json::array> rows;
@@ -439,7 +441,7 @@
     return notice;
 }
 
-/// In a row, for an endpoint that has no limit any more.
+/// Value sent in a row for an endpoint that no longer has a limit.
 constexpr double NoLimit = -1;
 
 json::object encoded(const LimitNotice &notice)
@@ -543,7 +545,8 @@
     return json::serialize(std::visit([](const auto &each) { return encoded(each); }, datagram));
 }
 
-// The JSON library reports a missing or wrong field by exception; it ends here and becomes "no datagram".
+// The JSON library throws for a missing or wrong field. The exception is caught here and the datagram is
+// treated as invalid.
 std::optional<PeerDatagram> decodeDatagram(std::string_view text)
 {
     json::error_code code;
--- a/src/gateway/peers/peerdatagrams.h
+++ b/src/gateway/peers/peerdatagrams.h
@@ -7,7 +7,8 @@
 using PeerDatagram = std::variant<PeerReport, FreshnessQuestion, FreshnessAnswer, QuotaAsk, QuotaGift,
                                   CrashNotice, LimitNotice, LimitAsk, LimitGrant>;
 
-/// What daemons tell each other, as one datagram's text, and back. Nothing is returned for any other text.
+/// Encodes a message between daemons as the text of one datagram, and decodes it. Decoding returns nothing
+/// for text that is not a valid message.
 std::string encodeDatagram(const PeerDatagram &datagram);
 std::optional<PeerDatagram> decodeDatagram(std::string_view text);
 
--- a/src/gateway/peers/peertable.cpp
+++ b/src/gateway/peers/peertable.cpp
@@ -11,29 +11,31 @@
 
 namespace {
 
-/// Each daemon that serves tells each other one: the pace stretches with their number, so that one sends and
-/// reads about eighty reports a second at most.
+/// Each serving daemon sends reports to every other one. The interval grows with their number, so that a
+/// daemon sends and receives about eighty reports a second at most.
 constexpr DurationMs ShortestReportPace{200};
 constexpr DurationMs ReportPacePerDaemon{12};
-/// Whole reports are several times as long, and only the duties' holder needs them: two must come in time for
-/// a window's usage, which is due some seconds after its end.
+/// Full reports are several times as long, and only the leader needs them. Two must arrive in time for a
+/// window's usage, which is due some seconds after the window's end.
 constexpr DurationMs WholeReportPacePerDaemon{60};
 constexpr DurationMs LongestWholeReportPace{1000};
-/// A peer that is silent for so many reports is not counted on.
+/// A peer counts as absent after this many missed reports.
 constexpr int64_t SilentReports = 6;
-/// Daemons that read the store for all; each of the others asks one of them. With many daemons there are
-/// more, so that one answers about a hundred. Those that stand by are not listed everywhere, but they are
-/// sixteen times as many as those that serve where these carry the load.
+/// Store readers; each of the other daemons queries one of them. Their number grows with that of the daemons,
+/// so that one reader replies to about a hundred. Standby daemons do not appear in all member lists; the
+/// number of readers then follows from that of the serving daemons, of which there may be only one for
+/// sixteen on standby.
 constexpr size_t LeastReaders = 3;
 constexpr size_t SharersPerReader = 6;
 constexpr size_t MembersPerReader = 100;
-/// Keepers change with the daemons that are ready; a change may be seen so much later.
+/// The quota pool changes with the daemons that are ready; a change may be noticed this much later.
 constexpr DurationMs KeepersPace{200};
-constexpr size_t MostWindowsKept = 12; ///< Windows of one peer; older ones are reported or past their time.
+constexpr size_t MostWindowsKept = 12; ///< Windows kept per peer; older ones are reported or expired.
 constexpr DurationMs PeerMemory{
     60000}; ///< Usage windows of a peer that is gone are still needed for a while.
-/// Fewer sharers count only after so long. Their entries lapse all at once with an outage of the store, and
-/// are back within about a second; taken for gone they would leave the whole of each limit to each daemon.
+/// A decrease of the number of serving daemons takes effect only after this time. When the store fails, all
+/// entries lapse at once and are back about a second after its recovery; if the daemons were taken for gone,
+/// each remaining one would take the full limit.
 constexpr DurationMs SharersMemory{3000};
 
 bool takesRequests(const PeerReport &report)
@@ -43,7 +45,7 @@
 
 } // namespace
 
-// ---- Who serves ----
+// ---- Serving daemons ----
 
 DurationMs PeerTable::reportPace() const
 {
@@ -56,7 +58,7 @@
     return std::max(reportPace(), std::min(wanted, LongestWholeReportPace));
 }
 
-// Half a pace more: reports wait for a tick, and take their way.
+// Half an interval more, since reports wait for a tick and take time on the network.
 DurationMs PeerTable::silence() const
 {
     return reportPace() * SilentReports + reportPace() / 2;
@@ -107,7 +109,7 @@
     findTargets();
 }
 
-// While none serves, after a start, the strongest are told: callers are sent to them.
+// While none serves, after a start, the daemons that rank first get the reports: callers are sent to them.
 void PeerTable::findTargets()
 {
     const size_t told = anyServes_ ? sharers_.size() : std::min(order_.size(), LeastEntries);
@@ -117,7 +119,8 @@
                        [this](const MemberEntry *member) { return member->instance == dutyHolder_; });
     if (holder != order_.end())
         targets_.push_back(*holder);
-    // One that is not listed yet, or is left out where only those that serve are told, hears nobody.
+    // A daemon that is not listed yet, or is on standby and thus omitted from the members that its peers
+    // send, receives no reports.
     const bool isAmong = selfEntry_ && std::erase(targets_, selfEntry_) > 0;
     isTarget_ = isAmong || members_.empty();
 }
@@ -135,7 +138,7 @@
     return now < mostSharersUntil_ ? std::max(count, mostSharers_) : count;
 }
 
-// ---- Who is there ----
+// ---- Presence of daemons ----
 
 size_t PeerTable::readerCount() const
 {
@@ -143,7 +146,8 @@
     return std::max(wanted, LeastReaders);
 }
 
-// One that is to be heard must be; of the others, those count that answered the last questions.
+// A daemon that receives reports counts only the peers that it hears. Otherwise peers count unless they are
+// known not to reply to queries.
 bool PeerTable::mayRead(const MemberEntry &member, TimeMs now) const
 {
     if (const Peer *peer = heard(member, now))
@@ -151,9 +155,9 @@
     return !isTarget_;
 }
 
-// The first few that can read, in an order that all share: those that serve, strong instances first, since
-// each change goes from the readers to all. Views may differ for a moment: then there is a reader more or
-// less.
+// Selects the first few that can read, in an order that is the same on all daemons: serving daemons first,
+// then strong instances, since each change spreads from the readers to all. Views may differ for a moment;
+// then there is one reader too many or too few.
 PeerTable::MemberPtrs PeerTable::readers(bool canRead, const std::set<Address> &silent, TimeMs now) const
 {
     MemberPtrs out;
@@ -175,7 +179,7 @@
     return std::find(all.begin(), all.end(), selfEntry_) != all.end();
 }
 
-// The others spread over the readers by their own names.
+// The other daemons are distributed over the readers by a hash of their own names.
 std::optional<Address> PeerTable::readerToAsk(bool canRead, const std::set<Address> &silent, TimeMs now) const
 {
     const MemberPtrs all = readers(canRead, silent, now);
@@ -245,11 +249,11 @@
     return out;
 }
 
-// ---- What they said ----
+// ---- Contents of the reports ----
 
 namespace {
 
-// A report that is not whole leaves the other parts as they were.
+// Keeps the parts that a partial report omits.
 void keepOtherParts(PeerReport &report, const PeerReport &before)
 {
     report.demands = before.demands;
@@ -317,8 +321,8 @@
     known.rankedAt = now;
     known.keepers.clear();
     const auto isThere = [&](const MemberEntry *member) { return isPresent(*member, now); };
-    // In a part that hears less than half of the daemons nobody gathers: each part would have keepers of its
-    // own, and together they could save more than the burst.
+    // In a network partition that hears half of the daemons or less there is no quota pool: each partition
+    // would have its own, and together they could save up more than the burst.
     const auto there = std::count_if(sharers_.begin(), sharers_.end(), isThere);
     if (static_cast<size_t>(there) * 2 <= sharers_.size())
         return {};
@@ -353,7 +357,7 @@
     return out;
 }
 
-// The sums are kept up to date by what changes: with many daemons there are reports in every tick.
+// The sums are updated incrementally: with many daemons, reports arrive in every tick.
 void PeerTable::count(Peer &peer, bool add)
 {
     peer.counted = add;
--- a/src/gateway/peers/peertable.h
+++ b/src/gateway/peers/peertable.h
@@ -8,89 +8,92 @@
 
 namespace cranberry {
 
-/// The other daemons: who is listed, who is heard, and what they last said.
+/// Keeps track of the other daemons: which are listed, which have reported recently, and their last reports.
 ///
-/// Daemons that serve callers, as the members' list in the store says, tell each other of their load several
-/// times a second. Those that stand by tell nobody and are told nothing: what they need to know they learn
-/// with the answers about the store's freshness. So what a daemon spends grows with the load, not with the
-/// number of daemons.
+/// Serving daemons, as listed in the store, send each other load reports several times a second. Standby
+/// daemons neither send nor receive reports; they learn what they need from the replies to their freshness
+/// queries. So the cost for each daemon grows with the load, not with the number of daemons.
 class PeerTable
 {
 public:
-    /// Daemons that gather what is left of one organisation's limit: with many daemons each balance is
-    /// smaller than a request, and a request can't ask them all.
+    /// Number of daemons that pool the unused part of an organisation's limit. With many daemons each balance
+    /// is smaller than a request, and a request can't query all of them.
     static constexpr size_t Keepers = 3;
 
     explicit PeerTable(InstanceName self) : self_(std::move(self)) { }
 
-    /// `listed`: daemons in all, if `members` is a part of them.
+    /// `listed` is the total number of daemons if `members` has only some of them.
     void setMembers(std::vector<MemberEntry> members, TimeMs now, size_t listed = 0);
     void setDutyHolder(const InstanceName &holder);
     const std::vector<MemberEntry> &members() const { return members_; }
-    /// Takes a report; older and doubled ones are dropped.
+    /// Stores a report. Returns false for one that is older than, or the same as, the last one of its sender.
     bool take(const PeerReport &report, TimeMs now);
 
-    // Who serves.
+    // Serving daemons.
 
-    /// Daemons that share the limits and the engines: those that serve; all of them while none says so. At
-    /// least 1. The largest count of the last seconds.
+    /// Number of daemons that share the limits and the engines: those that serve, or all while none is listed
+    /// as serving. At least 1. A decrease takes effect only after some seconds.
     size_t sharers(TimeMs now) const;
-    bool isSharer() const { return isSharer_; } ///< This daemon is one of them.
-    /// Whom this daemon tells of its load: those that serve, and the duties' holder. Without this one.
+    bool isSharer() const { return isSharer_; } ///< This daemon shares the limits and the engines.
+    /// Daemons that this one sends its load reports to: those that serve and the leader, without itself.
     const std::vector<const MemberEntry *> &reportTargets() const { return targets_; }
-    bool isReportTarget() const { return isTarget_; } ///< The others tell this daemon.
-    DurationMs reportPace() const; ///< Time between two reports of a daemon to the same one.
-    DurationMs wholeReportPace() const; ///< Time between two that have all parts.
-    /// Those among the targets that were none before the last change of the members.
+    bool isReportTarget() const { return isTarget_; } ///< The other daemons send their reports to this one.
+    DurationMs reportPace() const; ///< Time between two reports to the same daemon.
+    DurationMs wholeReportPace() const; ///< Time between two full reports to the same daemon.
+    /// Report targets that were added by the last change of the members.
     const std::vector<const MemberEntry *> &newTargets() const { return newTargets_; }
 
-    // Who is there.
+    // Presence of daemons.
 
-    /// Whom to ask about the store instead of reading; nothing if this daemon is one of the few that read.
-    /// One that can't read asks in any case, if there is somebody. Those in `silent` answered no question.
+    /// Returns the daemon to query instead of reading the store, or nothing if this daemon is one of the few
+    /// store readers. A reader whose own reads fail (`canRead` is false) also queries a peer, if there is
+    /// one. Daemons in `silent` are excluded: they did not reply to recent queries.
     std::optional<Address> readerToAsk(bool canRead, const std::set<Address> &silent, TimeMs now) const;
-    /// This daemon is one of the few that read, if it can.
+    /// This daemon is one of the few store readers, provided that its reads succeed.
     bool readsForAll(const std::set<Address> &silent, TimeMs now) const;
-    // Of the daemons that tell this one, all or more than half are heard.
+    // Reports have arrived recently from all, or from more than half, of the serving daemons.
     bool hearsAll(TimeMs now) const;
     bool hearsMost(TimeMs now) const;
-    /// Other daemons for callers: those that the store lists and that did not say that they leave.
-    /// `mustHear`: of those that serve only the ones that are heard.
+    /// Returns the other daemons that callers may be sent to: those that are listed in the store and have not
+    /// reported that they leave. With `mustHear`, serving daemons count only if they have reported recently.
     std::vector<EntryCandidate> entryCandidates(bool mustHear, TimeMs now) const;
 
-    // What they said.
+    // Contents of the reports.
 
-    /// The few daemons where what is left of an organisation's limit is gathered, best known first; all
-    /// daemons rank them alike. May name this one.
+    /// Returns the few daemons that pool the unused part of an organisation's limit, in the order of their
+    /// rank, which is the same on all daemons. The result may include this daemon.
     std::vector<const MemberEntry *> keepers(const OrganisationName &organisation, TimeMs now) const;
-    /// Those that share the limits and are there, this daemon among them if it does; none where this part
-    /// hears less than half of them: several parts would each share out the whole of a limit.
+    /// Returns the serving daemons that are present, including this one if it serves. Returns none in a
+    /// network partition that hears half of them or less: otherwise several partitions would each hand out
+    /// the full limit.
     std::vector<const MemberEntry *> presentSharers(TimeMs now) const;
-    /// What another daemon said it can spare of an organisation's limit.
+    /// Units of an organisation's limit that another daemon reported as spare.
     struct Spare {
         Address address;
         double units = 0;
     };
-    /// Those that can spare something, most first. A daemon that is told nothing of that takes the keepers to
-    /// have `presumed` each.
+    /// Returns the daemons with spare units, the largest amount first. A daemon that receives no reports
+    /// assumes `presumed` units at each daemon of the quota pool.
     std::vector<Spare> spares(const OrganisationName &organisation, double presumed, TimeMs now) const;
-    /// What the daemons that are heard run at each endpoint.
+    /// Sum of the load at each endpoint over the daemons that have reported recently.
     const std::map<EndpointLife, EndpointLoad> &loadSums(TimeMs now);
     std::map<ServiceName, ServiceDemand> demandSums(TimeMs now) const;
-    /// Counts of roll-outs on trial, of daemons that were heard lately, also of those that are gone by now.
+    /// Trial counts of roll-outs from all daemons that are still remembered, including ones that are gone.
     std::vector<TrialCount> trialCounts() const;
-    /// Cores that all other daemons that are heard use together.
+    /// Total number of cores used by the other daemons that have reported recently.
     double coresUsed(TimeMs now) const;
-    /// Highest count that each daemon reported for a window, also of daemons that are gone by now.
+    /// Sums, over all remembered daemons, of the highest count each one reported for the window, including
+    /// daemons that are gone.
     std::map<OrganisationName, uint64_t> windowSums(int64_t window) const;
-    /// Middle of the others' time of day less our steady clock, own value included.
+    /// Median of the offsets between time of day and this daemon's steady clock, over the own offset and
+    /// those of the peers.
     int64_t medianWallOffset(int64_t ownOffset, TimeMs now) const;
 
 private:
     struct Peer {
         PeerReport report;
         TimeMs heardAt;
-        bool counted = false; ///< In the sums of loads.
+        bool counted = false; ///< Its loads are included in `loadSums_`.
         int64_t wallOffset = 0;
         std::map<int64_t, std::map<OrganisationName, uint64_t>> windows;
     };
@@ -108,25 +111,25 @@
     MemberPtrs readers(bool canRead, const std::set<Address> &silent, TimeMs now) const;
     size_t readerCount() const;
     size_t heardSharers(TimeMs now) const;
-    /// All sharers in the order in which they keep an organisation's limit.
+    /// Serving daemons in the order in which they are chosen for an organisation's quota pool.
     const MemberPtrs &keeperOrder(const OrganisationName &organisation) const;
 
     InstanceName self_;
     std::vector<MemberEntry> members_;
     InstanceName dutyHolder_;
 
-    // Worked out when the members change. Comparing names for each question took an idle daemon among 295
-    // with 40 organisations 272 us a tick, 80 us without it.
-    const MemberEntry *selfEntry_ = nullptr; ///< Among the members, if this daemon is listed.
-    MemberPtrs order_; ///< Those that serve first, then strong instances first.
-    MemberPtrs sharers_; ///< The first of them.
+    // Recomputed when the members change. Comparing names at each call instead took 272 us per tick on an
+    // idle daemon among 295 with 40 organisations, compared with 80 us.
+    const MemberEntry *selfEntry_ = nullptr; ///< Points into `members_`; null if this daemon is not listed.
+    MemberPtrs order_; ///< Serving daemons first, then by `ranksBefore`.
+    MemberPtrs sharers_; ///< Leading part of `order_`.
     MemberPtrs targets_;
     MemberPtrs newTargets_;
     size_t listed_ = 0;
     bool anyServes_ = false;
     bool isSharer_ = true;
     bool isTarget_ = true;
-    size_t mostSharers_ = 1; ///< Until `mostSharersUntil_`.
+    size_t mostSharers_ = 1; ///< Lower bound of the count until `maxServingCountUntil_`.
     TimeMs mostSharersUntil_;
     mutable std::map<OrganisationName, MemberPtrs> keeperOrders_;
 
@@ -136,7 +139,8 @@
         TimeMs rankedAt;
         MemberPtrs keepers;
     };
-    mutable std::map<OrganisationName, RankedKeepers> ranked_; ///< Asked for with each request and report.
+    /// Cached, since it is needed for each request and report.
+    mutable std::map<OrganisationName, RankedKeepers> ranked_;
 };
 
 } // namespace cranberry
--- a/src/gateway/peers/reportschedule.cpp
+++ b/src/gateway/peers/reportschedule.cpp
@@ -17,9 +17,9 @@
 
 } // namespace
 
-// Reports may be lost: the next one says all of it again. Each tick tells a few daemons, in turn: to all at
-// once would overflow the queue of a slow link, and the sockets of the others. One that stands by and has
-// nothing to tell is silent.
+// Reports are not acknowledged: if one is lost, the next one replaces it. Each tick serves a few targets in
+// turn, because sending to all at once would overflow the queue of a slow link and the receivers' sockets. A
+// standby daemon with nothing to report sends nothing.
 ReportSchedule::Due ReportSchedule::due(const PeerTable &peers, bool hasNews, TimeMs now)
 {
     const std::vector<const MemberEntry *> &targets = peers.reportTargets();
@@ -45,9 +45,9 @@
     return out;
 }
 
-// After a start the next turn would be too late: callers would be sent to one daemon, and requests refused
-// for a limit that others have room in. So all are told as soon as this daemon takes requests, and those that
-// begin to serve at once.
+// After a start, the scheduled time would be too late: callers would be sent to one daemon only, and requests
+// refused for a limit of which other daemons have units to spare. So all targets get a report as soon as this
+// daemon accepts requests, and new targets get one at once.
 ReportSchedule::Due ReportSchedule::afterNews(const PeerTable &peers, bool ready, bool hasNews,
                                               bool membersRead)
 {
--- a/src/gateway/peers/reportschedule.h
+++ b/src/gateway/peers/reportschedule.h
@@ -4,28 +4,28 @@
 
 namespace cranberry {
 
-/// When this daemon tells which others of its load.
+/// Decides when this daemon sends its load report to which peers.
 ///
-/// No sockets, no clock: the caller sends a report to each address that is returned.
+/// It uses no sockets and no clock: the caller sends a report to each address that is returned.
 class ReportSchedule
 {
 public:
     struct Due {
         std::vector<Address> to;
-        bool whole = false; ///< The report has all parts, not only those that matter at once.
+        bool whole = false; ///< The report is full, not limited to the parts that are urgent.
     };
 
-    /// This tick's turns. `hasNews`: the others wait for this daemon's reports.
+    /// Returns the reports that are due at this tick. Without `mustReport` there are none.
     Due due(const PeerTable &peers, bool hasNews, TimeMs now);
-    /// After the store or another daemon was heard: those who must not wait for their turn. `membersRead`:
-    /// the list of members was among it.
+    /// Returns the reports that must be sent at once after an update from the store or a peer. `membersRead`:
+    /// the update had a member list.
     Due afterNews(const PeerTable &peers, bool ready, bool hasNews, bool membersRead);
-    /// All at once, before this daemon ends.
+    /// Returns a full report to all targets, for use before this daemon exits.
     static Due toAll(const PeerTable &peers);
 
 private:
     TimeMs countedAt_;
-    double turns_ = 0; ///< Reports that are due by now.
+    double turns_ = 0; ///< Reports that are due, with the fraction carried over between ticks.
     size_t next_ = 0;
     uint64_t round_ = 0;
     bool wasReady_ = false;
--- a/src/gateway/peers/sharedview.cpp
+++ b/src/gateway/peers/sharedview.cpp
@@ -1,4 +1,4 @@
-// What the gateway learns from the store and the other daemons, and what it tells them.
+// Updates that the gateway receives from the store and its peers, and the reports that it sends.
 
 #include "gateway/gateway.h"
 
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// What another daemon said of the entries holds for several questions: some may be lost.
+/// How long the caller addresses received from a peer stay valid. It spans several queries, since some may be
+/// lost.
 constexpr DurationMs ToldEntriesLast{2000};
 
 } // namespace
@@ -122,7 +123,7 @@
     }
     out.demands = demand_.values();
     out.trials = trialCounts_.rows();
-    // The newest windows only: the holder of the duty needs them some seconds after their end.
+    // Only the newest windows: the leader needs them within some seconds after their end.
     const int64_t oldest = usage_.windowAt(now) - 1;
     for (auto window = usage_.counts().lower_bound(oldest); window != usage_.counts().end(); ++window) {
         for (const std::pair<const OrganisationName, uint64_t> &count : window->second)
@@ -145,8 +146,9 @@
     return peers_.isReportTarget() || !exchanges_.empty() || newest != usage_.counts().end();
 }
 
-// A daemon that hears most of those that serve chooses by itself. The others go by what one of these told
-// them, and without that by the store's list, which shows a dead daemon until its lease is over.
+// A daemon that hears most of the serving daemons chooses the addresses itself. The others use the addresses
+// received from one of these, or else the members listed in the store, where a dead daemon remains until its
+// lease expires.
 Gateway::EntryAnswer Gateway::callerAddresses(const EntryCandidate &own, double ownCoresUsed, TimeMs now)
 {
     const bool ready = isReady(now);
