--- a/src/gateway/store/storecalls.h
+++ b/src/gateway/store/storecalls.h
@@ -4,16 +4,17 @@
 
 namespace cranberry {
 
-/// What the store holds, by who writes it.
+/// Parts of the store, by who writes them.
 enum class StoreSpace : uint8_t {
-    Shared, ///< The configuration, and what the daemons agree on.
+    Shared, ///< The configuration and the state shared by the daemons.
     Endpoints,
-    Archive ///< What daemons keep for their successors; not read regularly.
+    Archive ///< Records that daemons keep for their successors; not read regularly.
 };
 
 enum class StoreVerb : uint8_t { List, Write, GrantLease, RenewLease, EndLease };
 
-struct StoreCondition { ///< Revision 0: the key does not exist.
+/// A write's precondition: the key has this revision. Revision 0: the key does not exist.
+struct StoreCondition {
     StoreSpace space = StoreSpace::Shared;
     std::string key;
     uint64_t revision = 0;
@@ -31,38 +32,38 @@
     std::string key;
 };
 
-/// One call to the store. A call without reply may still be carried out, even seconds later.
+/// One call to the store. A call that got no reply may still be executed, even seconds later.
 struct StoreCall {
     uint64_t id = 0;
     StoreVerb verb = StoreVerb::List;
-    StoreSpace space = StoreSpace::Shared; ///< List.
-    std::string after; ///< List: where the page before ended, as its reply said.
+    StoreSpace space = StoreSpace::Shared; ///< For List.
+    std::string after; ///< For List: the last key of the previous page, as its reply gave it.
     std::vector<StoreCondition> conditions;
     std::vector<StorePut> puts;
     std::vector<StoreKey> deletes;
-    std::optional<RolloutStatus> rolloutStatus; ///< Written beside the puts.
+    std::optional<RolloutStatus> rolloutStatus; ///< Written together with the puts.
     uint64_t lease = 0;
-    DurationMs leaseTime; ///< GrantLease.
+    DurationMs leaseTime; ///< For GrantLease.
     DurationMs timeout{2000};
 };
 
 enum class StoreOutcome : uint8_t {
     Done,
-    NotFound, ///< The lease has ended.
-    Conflict, ///< A condition does not hold; `items` has the present state.
-    Refused, ///< Nothing was done.
-    NoReply ///< Perhaps done, perhaps done later.
+    NotFound, ///< The lease has expired or was ended.
+    Conflict, ///< A condition does not hold; `items` has the current state.
+    Refused, ///< The call was not executed.
+    NoReply ///< The call may have been executed, or may be executed later.
 };
 
-/// An item as it lies in the store, decoded by kind.
+/// An item of the store, decoded by its kind.
 struct StoreItem {
     StoreSpace space = StoreSpace::Shared;
-    std::string key; ///< Without what marks the space.
-    std::string value; ///< Of keys that daemons write.
+    std::string key; ///< Without the prefix of the space.
+    std::string value; ///< Only for keys that daemons write.
     uint64_t revision = 0;
     uint64_t lease = 0;
     bool isConfiguration = false;
-    ServingConfigurationPtr configuration; ///< With isConfiguration.
+    ServingConfigurationPtr configuration; ///< Set if isConfiguration and the value is valid.
     std::optional<RolloutOrder> rollout;
     std::optional<EndpointEntry> endpoint;
 };
@@ -70,12 +71,12 @@
 struct StoreReply {
     uint64_t id = 0;
     StoreOutcome outcome = StoreOutcome::NoReply;
-    /// Rises by one each time the store comes back from an older copy of itself: what was written since the
-    /// copy is gone, and revisions are given out again. Nothing: not stated.
+    /// Incremented each time the store is restored from an older copy of itself: writes since the copy are
+    /// lost, and revisions are assigned again. Empty: the reply did not state it.
     std::optional<uint64_t> era;
     std::vector<StoreItem> items;
-    std::string nextPage; ///< Not empty: there is more behind this key.
-    uint64_t revision = 0; ///< Of a write.
+    std::string nextPage; ///< If not empty, there are more items after this key.
+    uint64_t revision = 0; ///< Revision of a write.
     uint64_t lease = 0;
     DurationMs leaseTime;
 };
--- a/src/gateway/store/storeera.cpp
+++ b/src/gateway/store/storeera.cpp
@@ -1,5 +1,5 @@
-// A store that comes back from an older copy of itself: what this daemon may still believe, and what it does
-// anew.
+// Handling of a store that was restored from an older copy of itself: which views stay valid, and what this
+// daemon must write again.
 
 #include "gateway/store/storeera.h"
 #include "gateway/store/storesync.h"
@@ -11,14 +11,15 @@
 
 namespace {
 
-/// A holder acts until this long after its lease at the most, by all clocks and delays.
+/// Upper bound of how long a leader may still act after its lease expired, considering clocks and delays.
 constexpr DurationMs StandMargin{700};
-/// A configuration that others have seen, and that nobody writes again, was taken back.
+/// If nobody writes a configuration again within this time, though peers have seen it, it counts as
+/// withdrawn.
 constexpr DurationMs RewriteTime{30000};
-/// Each daemon asks for a lease and writes its entry again: 890 of them in so long each are 500 writes a
-/// second.
+/// Each daemon requests a lease and writes its entry again. With 890 daemons spread over this time each,
+/// these are 500 writes per second.
 constexpr DurationMs ReturnSpreadEach{4};
-/// A store that states this era, or none, has never come back from a copy.
+/// A store that states this era, or none, was never restored from a copy.
 constexpr uint64_t FirstEra = 1;
 
 } // namespace
@@ -36,8 +37,8 @@
     return isWhole ? std::optional<uint64_t>(era) : std::nullopt;
 }
 
-// After a loss a daemon does not stand again for a lease's time and some more: otherwise the order of holders
-// could be A, B, A within one lease.
+// After losing the leadership a daemon does not campaign for a lease's time plus a margin. Otherwise the
+// order of leaders could be A, B, A within one lease.
 DurationMs StoreSync::quietTime() const
 {
     return settings_.leaseTime + StandMargin;
@@ -53,12 +54,13 @@
     reply = StoreReply{reply.id, StoreOutcome::NoReply, std::nullopt, {}, {}, 0, 0, {}};
 }
 
-// All that was known by revision is void, since revisions are given out again, and so are leases: another
-// daemon may be given the number of ours, and a key of its lease would live on our renewals.
+// Everything known by revision is void, since revisions are assigned again. So are leases: another daemon may
+// be granted the number of this daemon's lease, and a key under that lease would be kept alive by this
+// daemon's renewals.
 //
-// The one that holds the duties now may win them again at once. Nobody else can have: all others wait until
-// the lease that they don't see any more is over in any case. With a wait for it, too, the duties would rest
-// for a lease at each return.
+// The current leader may win again at once. No other daemon can have won: all others wait until the lease,
+// which they no longer see, has expired in any case. If the leader waited too, leader tasks would pause for a
+// lease's time at each restore.
 void StoreSync::enterEra(uint64_t era, TimeMs now)
 {
     const bool isFirst = era_ == 0;
@@ -90,7 +92,7 @@
     }
 }
 
-// Whoever held the duties in what the store has lost may act on its lease until this is over.
+// The leader according to data that the store lost may act on its lease until this time is over.
 void StoreSync::keepQuiet(TimeMs now)
 {
     actsFrom_ = now + quietTime();
@@ -98,7 +100,7 @@
     takeBackAt_ = std::max(takeBackAt_, actsFrom_);
 }
 
-// The key of an earlier life of this daemon may be of long ago, too: somebody else can have won after it.
+// A key of an earlier incarnation of this daemon may be outdated, too: another daemon may have won after it.
 void StoreSync::noteFirstView(TimeMs now)
 {
     firstViewAt_ = now;
@@ -111,7 +113,7 @@
 {
     if (heldUntil_ && now >= *heldUntil_) {
         heldUntil_.reset();
-        // It did not win again in time: by now others may.
+        // The leader did not win again in time; from now on others may.
         if (!leaderIsSelf_)
             keepQuiet(now);
     }
@@ -121,10 +123,10 @@
     settleEra(now);
 }
 
-// A daemon that starts can't know whether the store came back just before, and whether what it reads is older
-// than what the others have seen. This key tells: it is of the present era only once a holder of the duties
-// has made its records whole there, and the operators have written theirs again, as far as that holder knows.
-// In the first era nothing of before is lost, whether it was settled or not.
+// A daemon that starts can't know whether the store was restored just before, and whether what it reads is
+// older than what its peers have seen. This key shows it: it has the current era only once a leader has
+// written its records again in that era, and the operators have written their configuration again, as far as
+// the leader knows. In the first era nothing was lost, whether it was settled or not.
 bool StoreSync::isSettled() const
 {
     return settledEra_ == era_ || (settledEra_ == 0 && era_ <= FirstEra);
--- a/src/gateway/store/storeera.h
+++ b/src/gateway/store/storeera.h
@@ -6,11 +6,11 @@
 
 namespace cranberry {
 
-/// Key of the newest era of the store in which the daemons' own records are whole again, among those that all
-/// daemons share.
+/// Shared key that holds the newest settled era of the store: the newest one in which the daemons' own
+/// records are complete again.
 constexpr const char *SettledEraKey = "era";
 
-/// An era as text, and back; nothing for text that is none.
+/// Converts an era to text and back; returns nothing for text that is not a valid era.
 std::string eraText(uint64_t era);
 std::optional<uint64_t> eraFromText(const std::string &text);
 
--- a/src/gateway/store/storequarantine.cpp
+++ b/src/gateway/store/storequarantine.cpp
@@ -1,4 +1,4 @@
-// Requests that are kept from endpoints: as the store has them, and as daemons tell each other.
+// Requests in quarantine: the list in the store, and its exchange between daemons.
 
 #include "gateway/endpoints/quarantinelist.h"
 #include "gateway/store/storesync.h"
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// All that serve learn of a new one within milliseconds of each other. One writes; the others find it in
-/// their next read, which comes within 0.6 s, and don't write.
+/// All serving daemons learn of a new quarantine within milliseconds of each other. One writes it; the others
+/// find it in their next read, which comes within 0.6 s, and don't write.
 constexpr DurationMs MostWriteSpread{900};
 constexpr DurationMs ConflictSpread{200};
 
@@ -21,8 +21,8 @@
 
 } // namespace
 
-// A write that is due stays due: with each further verdict put off, the first ones were still missing in the
-// store after six seconds when twelve fell at once.
+// A write that is due is not postponed. When each further quarantine postponed it, the first ones were still
+// missing in the store after six seconds when twelve were decided at once.
 void StoreSync::setQuarantine(const std::vector<QuarantinedRequest> &list, TimeMs now)
 {
     if (list == quarantine_)
@@ -35,8 +35,8 @@
         quarantineWriteAt_ = std::max(quarantineWriteAt_, now + spread(MostWriteSpread));
 }
 
-// What the full list has no room for is not missing: those that end first are left out. Worked out when one
-// of the lists changes, not at each tick.
+// An entry for which the full list has no room does not count as missing: those that expire first are left
+// out. Computed when one of the lists changes, not at each tick.
 void StoreSync::compareQuarantine()
 {
     const std::vector<QuarantinedRequest> merged = mergedQuarantine(storedQuarantine_, quarantine_);
@@ -47,7 +47,8 @@
     });
 }
 
-// The condition keeps what others wrote since: without it one of two verdicts of the same moment is lost.
+// The condition protects what others wrote since the last read: without it, one of two quarantines decided at
+// the same moment is lost.
 void StoreSync::writeQuarantine(TimeMs now)
 {
     quarantineWriteAt_ = now + RetryPause;
@@ -60,7 +61,7 @@
     send(std::move(call), {Purpose::Quarantine, now, now, {}, 0}, now);
 }
 
-// After a conflict the present state is known, and the next try may come soon.
+// After a conflict the reply has the current state, so the next attempt may follow soon.
 void StoreSync::onQuarantineReply(const StoreReply &reply, TimeMs now)
 {
     if (reply.outcome == StoreOutcome::Done && reply.revision > quarantineRevision_) {
@@ -75,8 +76,8 @@
         takeQuarantine(item.value, item.revision);
 }
 
-// A read that was asked before the own last write shows the list before it. One that can't be read is another
-// writer's: the next write replaces it.
+// A read that was sent before the last own write shows the list before that write. A list that can't be
+// parsed was written by someone else; the next write replaces it.
 void StoreSync::takeQuarantine(const std::string &text, uint64_t revision)
 {
     const bool isNews = revision == 0 ? quarantineRevision_ != 0 : revision > quarantineRevision_;
--- a/src/gateway/store/storequeries.cpp
+++ b/src/gateway/store/storequeries.cpp
@@ -1,4 +1,4 @@
-// Asking another daemon about the store instead of reading it, and answering those that ask.
+// Freshness queries: querying a peer instead of reading the store, and replying to the queries of peers.
 
 #include "gateway/peers/memberentry.h"
 #include "gateway/store/storesync.h"
@@ -9,23 +9,25 @@
 
 namespace {
 
-/// Pace of asking another daemon. Its own view is up to a read's pace old when it answers.
+/// Interval between queries to a peer. The peer's own view is up to one read interval old when it replies.
 constexpr DurationMs AskPace{300};
-/// One that stands by asks less often: only callers with old addresses come to it.
+/// A standby daemon sends queries less often: only callers with outdated addresses connect to it.
 constexpr DurationMs StandbyAskPace{500};
-/// A view older than this is renewed by reading, whatever the other daemon says.
+/// A view older than this is refreshed by reading the store, whatever the peer replies.
 constexpr DurationMs OldestBorrowed{1300};
 constexpr DurationMs StandbyOldestBorrowed{1800};
-/// One that stands by reads changes of the configuration so many times at most within the bound in which they
-/// must be in force: each of quick successions would be read by hundreds of them.
+/// A standby daemon reads configuration changes at most this many times within the bound in which they must
+/// be in force: with changes in quick succession, hundreds of daemons would read each one.
 constexpr int64_t StandbyReadsPerBound = 3;
-/// A daemon that left so many questions in a row unanswered is not asked for a while.
+/// A peer that left more than this many queries in a row unanswered is not queried for `SilentSourcePause`.
 constexpr uint32_t SilentQuestions = 3;
 constexpr DurationMs SilentTime{1000};
-constexpr DurationMs UnansweredMemory{60000}; ///< Addresses of daemons that are gone for good are forgotten.
-/// More members don't fit into a datagram with the list of endpoints; they are read.
+/// How long unanswered queries to a peer are remembered, so that peers that are gone for good are forgotten.
+constexpr DurationMs UnansweredMemory{60000};
+/// Maximum number of members in a reply: more don't fit into a datagram together with the list of endpoints.
+/// They are read from the store instead.
 constexpr size_t MostMembersTold = 120;
-/// Entries of endpoints in one answer: each takes about 90 B, and a datagram holds 60 KB.
+/// Maximum number of endpoint entries in one reply: each takes about 90 B, and a datagram holds 60 KB.
 constexpr size_t MostEndpointsTold = 400;
 constexpr size_t MostOpenQuestions = 16;
 
@@ -97,8 +99,9 @@
 
 void StoreSync::onQuestion(const FreshnessQuestion &question, const Address &from, TimeMs now)
 {
-    // A view that is old already is of no use: the asker would have to read in any case. One that this daemon
-    // could not renew just now still is: if it kept silent, all that ask would read from a busy store.
+    // A view that is already too old is of no use, since the peer would have to read in any case. A view that
+    // merely could not be refreshed just now is still sent: without a reply, all peers would read from a busy
+    // store.
     if (question.era > era_)
         enterEra(question.era, now);
     const TimeMs oldest = std::min(newestShared_, newestEndpoints_);
@@ -138,8 +141,9 @@
         tellEndpoints(question, from, std::move(answer));
 }
 
-// "Was so" is counted from when the question was sent, less the age at the answerer: late answers, also those
-// that waited while this process stood still, claim nothing that was not true then.
+// The time of the reply's view is when the query was sent, less the age that the view had at the replying
+// daemon. So a late reply, also one that waited during a process pause, claims nothing that was not true at
+// that time.
 void StoreSync::onAnswer(const FreshnessAnswer &answer, TimeMs now)
 {
     const auto found = questions_.find(answer.number);
@@ -154,7 +158,7 @@
     if (answer.era > era_)
         enterEra(answer.era, now);
     if (answer.era < era_)
-        return; // What it tells of is gone.
+        return; // What it describes is lost.
     leastVersion_ = std::max(leastVersion_, answer.configurationVersion);
     vouchedFor_ = vouchedFor_ || knownVersion() >= leastVersion_;
     takeEntriesAnswer(answer, askedAt);
@@ -167,8 +171,8 @@
 void StoreSync::takeSharedAnswer(const FreshnessAnswer &answer, TimeMs sharedAt, TimeMs now)
 {
     if (answer.sharedDigest != sharedDigest_) {
-        // Something changed, here or there: the store tells what. If it is not the configuration, this is
-        // confirmed all the same: a daemon that the store turns away could not serve keys for long otherwise.
+        // The views differ: a read of the store shows what changed. If the configuration is the same, it is
+        // confirmed nevertheless; otherwise a daemon that the store rejects could not accept keys for long.
         const bool sameConfiguration
             = configuration_ && answer.configurationVersion == configuration_->version;
         if (sameConfiguration)
@@ -192,7 +196,7 @@
     }
 }
 
-// Changes go with the answer; a whole list goes with it and as many further ones as it takes.
+// Changes are sent with the reply; a full list is sent in as many replies as needed.
 void StoreSync::tellEndpoints(const FreshnessQuestion &question, const Address &from, FreshnessAnswer answer)
 {
     answer.endpointChanges = endpoints_.since(question.endpointsDigest);
@@ -232,7 +236,7 @@
     news_.endpoints.push_back({endpoints_.entries(), endpointsAt, answer.era});
 }
 
-// An answer of an earlier question may come later; the digest tells whether the list is still the one meant.
+// The reply to an earlier query may arrive later; the digest shows whether the list is still the current one.
 void StoreSync::takeEntriesAnswer(const FreshnessAnswer &answer, TimeMs askedAt)
 {
     if (answer.hasEntries) {
--- a/src/gateway/store/storerollouts.cpp
+++ b/src/gateway/store/storerollouts.cpp
@@ -1,4 +1,4 @@
-// Roll-outs: orders and records as the store has them, and as daemons tell each other.
+// Roll-outs: orders and records as stored, and their exchange between daemons.
 
 #include "gateway/peers/memberentry.h"
 #include "gateway/store/storesync.h"
@@ -43,7 +43,7 @@
     mergeRollouts(read, open.readStartedAt);
 }
 
-// Records go forward only; the store may be older, and so may a daemon that tells.
+// Records only move forward; those of the store or of a peer may be older.
 void StoreSync::mergeRollouts(const RolloutsKnown &read, TimeMs readAt)
 {
     RolloutsKnown merged = read;
--- a/src/gateway/store/storesync.cpp
+++ b/src/gateway/store/storesync.cpp
@@ -1,5 +1,5 @@
-// Reads, the lease, the own entry and the leadership of the duties. Questions to other daemons are in
-// storequestions.cpp.
+// Reads of the store, the lease, this daemon's own entry and the campaign for leadership. Freshness queries
+// to peers are in storequeries.cpp.
 
 #include "gateway/store/storesync.h"
 
@@ -15,36 +15,38 @@
 
 namespace json = boost::json;
 
-/// Pace of reading the configuration: a change must be in force within two seconds of its acknowledgement, so
-/// two reads in a row may fail.
+/// Interval between reads of the configuration. A change must be in force within two seconds of its
+/// acknowledgement, so two reads in a row may fail.
 constexpr DurationMs SharedPace{600};
-/// Pace of reading the endpoints: a leaving one must get no new work two seconds after it said so.
+/// Interval between reads of the endpoints. An endpoint that reports that it is leaving must get no new work
+/// after two seconds.
 constexpr DurationMs EndpointsPace{500};
-/// After so many failed reads in a row, or while one is not answered for so long, a daemon asks others, also
-/// if it is one of those that read for all. It goes on trying; at a slower pace while others keep its view
-/// fresh.
+/// After this many failed reads in a row, or while a read has been open for `SlowReadTime`, a daemon queries
+/// peers, even if it is a store reader. It keeps trying to read, at intervals longer by `FailingReadSlowdown`
+/// while peers keep its view fresh.
 constexpr uint32_t ReadsFailing = 2;
 constexpr DurationMs SlowRead{1100};
 constexpr int64_t SlowerWhileFailing = 3;
-/// A read that takes longer finds a busy store: each further one of a daemon that does not read for all
-/// doubles its pause, so many times at most: without a word of others a view must stay younger than the bound
-/// for removed keys. 295 daemons then read the configuration 120 times a second (worked out); a store whose
-/// link a list of 300 KB keeps busy for 3 ms sends 300.
+/// A read that takes longer than this indicates a busy store. Each further one doubles the read interval of a
+/// daemon that is no store reader, `MaxReadDoublings` times at most: even without replies from peers, a view
+/// must stay younger than the bound for removed keys. 295 daemons then read the configuration 120 times a
+/// second (calculated); a store whose link takes 3 ms to send a list of 300 KB serves 300 reads a second.
 constexpr DurationMs BusyRead{500};
 constexpr uint32_t MostReadDoublings = 2;
-/// A read that takes longer than this is taken for lost; the slowest store that still answers is below it.
+/// A read that takes longer than this counts as lost; the slowest store that still replies is faster.
 constexpr DurationMs ReadTimeout{2500};
-/// Reads of one kind under way at once: they overlap while the store is slow, but don't pile up.
+/// Maximum number of open reads of one kind: they overlap while the store is slow, but must not pile up.
 constexpr size_t MostOverlappingReads = 4;
-/// A third of the lease: two renewals may be lost.
+/// The lease is renewed at a third of its time, so two renewals may be lost.
 constexpr int64_t RenewalsPerLease = 3;
-constexpr DurationMs StandSpread{400}; ///< So that not all stand in the same moment.
-/// Those that serve hear the counts that are to be reported; the others stand only if none of them does.
+constexpr DurationMs StandSpread{400}; ///< Keeps the daemons from campaigning at the same moment.
+/// Serving daemons receive the counts that are to be reported. A standby daemon campaigns this much later,
+/// thus only if no serving daemon does.
 constexpr DurationMs StandbyStandsLater{2000};
 
 constexpr const char *MemberPrefix = "members/";
-/// A fencing token is the revision that won, with the era before it: revisions alone go back when the store
-/// comes back older. No store makes 2^40 changes.
+/// A fencing token is the revision that won, preceded by the era: revisions alone decrease when the store is
+/// restored from an older copy. No store makes 2^40 changes.
 constexpr unsigned RevisionBits = 40;
 
 } // namespace
@@ -101,7 +103,7 @@
     slowReads_ = wasSlow ? std::min(slowReads_ + 1, MostReadDoublings) : 0;
     if (wasSlow)
         return;
-    // The pause was chosen before this read showed that the store is well again.
+    // The intervals were chosen before this read showed that the store is fast again.
     sharedAt_ = std::min(sharedAt_, open.sentAt + SharedPace);
     endpointsAt_ = std::min(endpointsAt_, open.sentAt + EndpointsPace);
 }
@@ -111,7 +113,7 @@
     return {static_cast<int64_t>(random_.below(static_cast<uint64_t>(most.count)))};
 }
 
-// All daemons find the store busy at the same moment, and must not come back together.
+// All daemons find the store busy at the same moment, so their next reads are spread by jitter.
 DurationMs StoreSync::readPause(DurationMs pace)
 {
     if (readsForAll_ || slowReads_ == 0)
@@ -120,8 +122,8 @@
     return most / 2 + spread(most);
 }
 
-// One that reads for all by now must not keep a pause that was chosen while another one read for it: after an
-// outage its own entry lapses, and it is left out of the readers for a moment.
+// A daemon that becomes a store reader must not keep the longer interval that it chose while another one read
+// for it. After a store outage its own entry lapses, and for a moment it does not count as a reader.
 void StoreSync::setReadsForAll(bool readsForAll, TimeMs now)
 {
     if (std::exchange(readsForAll_, readsForAll) == readsForAll || !readsForAll)
@@ -136,7 +138,8 @@
     if (!started_) {
         started_ = true;
         startedAt_ = now;
-        // An earlier life of this daemon may have led until just now: wait out its lease.
+        // An earlier incarnation of this daemon may have led until just now: waits until its lease has
+        // expired.
         standAt_ = settings_.firstStart ? now : now + quietTime();
         vouchedFor_ = settings_.firstStart;
     }
@@ -204,19 +207,19 @@
                                         {"era", era_}});
 }
 
-// An instance runs one daemon at a time: a key with its name and another incarnation is of a process that
-// ended.
+// An instance runs one daemon at a time, so a key with its name and another incarnation belongs to a process
+// that has exited.
 bool StoreSync::isEarlierLife(const std::string &leaderValue) const
 {
     return holderOf({leaderValue, 1, 0}) == settings_.self.instance && leaderValue != ownLeaderValue();
 }
 
-// The write's condition lets one daemon win. Its revision is the fencing token: unique, and larger than any
-// before.
+// The condition of the write lets only one daemon win. The revision of the write is the fencing token:
+// unique, and larger than any before.
 //
-// A holder that was killed and started again finds its own key while its old lease runs. Its earlier life is
-// over, and nobody else can have won before the key was gone: it replaces the key without waiting. Otherwise
-// the duties rest for a whole lease when all daemons are killed at once.
+// A leader that was killed and restarted finds its own key while its old lease is valid. Its earlier
+// incarnation has exited, and nobody else can have won while the key exists, so it replaces the key without
+// waiting. Otherwise leader tasks would pause for a full lease when all daemons are killed at once.
 void StoreSync::stand(TimeMs now)
 {
     takeBackAt_ = now + RetryPause;
@@ -268,7 +271,7 @@
             loseLease(now, "register");
         return;
     case Purpose::Stand:
-        // A lost or refused try shows in the next read; only a win is news.
+        // A lost or rejected attempt shows in the next read; only a win is handled here.
         if (reply.outcome == StoreOutcome::Done && open.lease == lease_) {
             leader_ = {ownLeaderValue(), reply.revision, lease_, era_};
             leaderIsSelf_ = true;
@@ -288,7 +291,7 @@
 {
     if (reply.outcome != StoreOutcome::Done)
         return;
-    // Pages of two eras are no view of either.
+    // Pages of two eras don't form a consistent view.
     const uint64_t era = reply.era.value_or(era_);
     if (!open.pages.empty() && open.era != era)
         return;
@@ -298,7 +301,7 @@
     if (!reply.nextPage.empty())
         return readSpace(shared ? StoreSpace::Shared : StoreSpace::Endpoints, std::move(open), reply.nextPage,
                          now);
-    // Reads overlap: what an older question found must not replace what a newer one found.
+    // Reads overlap: the result of an older read must not replace that of a newer one.
     TimeMs &newest = shared ? newestShared_ : newestEndpoints_;
     if (open.readStartedAt < newest)
         return;
@@ -321,7 +324,7 @@
         if (item.isConfiguration) {
             sawConfiguration = true;
             storedVersion_ = item.configuration->version;
-            // An older store holds an older one until the operators have written theirs again.
+            // After a restore the store holds an older configuration until the operators write theirs again.
             if (!configuration_ || item.configuration->version >= configuration_->version)
                 configuration_ = item.configuration;
         } else if (item.key == SettledEraKey) {
@@ -360,7 +363,7 @@
     news_.members = std::move(members);
     news_.listed = listed_;
     news_.dutyHolder = holderOf(leader);
-    // What was asked before our own win can't have seen it.
+    // A read that was sent before the own win can't show it.
     const bool staleView = leaderIsSelf_ && leader.era == leader_.era && leader.revision < leader_.revision;
     if (staleView && lease_ == leader_.lease && askedAt + WriteTimeout > now)
         return;
@@ -384,8 +387,8 @@
         news_.configurations.push_back({configuration_, askedAt});
 }
 
-// A write that was given up may be done later, after the one that followed it: the others would go on without
-// the share of the limits that this daemon takes.
+// A write that timed out may be executed later than the write that followed it. The peers would then not
+// count the share of the limits that this daemon uses.
 void StoreSync::checkOwnEntry(TimeMs askedAt)
 {
     if (!registered_ || askedAt <= registeredAt_)
@@ -448,7 +451,7 @@
     out.held
         = !leaving_ && leaderIsSelf_ && leader_.lease == lease_ && now < out.validUntil && now >= actsFrom_;
     out.stands = {StoreSpace::Shared, LeaderKey, leader_.revision};
-    // What it wrote itself since it leads, it writes again.
+    // What it wrote itself since it became leader, it writes again.
     const bool ledThroughEra = ledSince_.count != 0 && ledSince_ < eraSeenAt_;
     if (startedUnsettled_)
         out.recordsLostBefore = startedAt_;
@@ -464,7 +467,7 @@
     leaving_ = true;
     if (lease_ == 0)
         return;
-    // Ending the lease removes the member's entry and the leader's key at once.
+    // Ending the lease removes the member's entry and the leader's key at the same time.
     StoreCall call;
     call.verb = StoreVerb::EndLease;
     call.lease = lease_;
--- a/src/gateway/store/storesync.h
+++ b/src/gateway/store/storesync.h
@@ -12,42 +12,44 @@
 
 namespace cranberry {
 
-/// Key of the requests in quarantine, among those that all daemons share.
+/// Shared key of the requests in quarantine.
 constexpr const char *QuarantineKey = "quarantine";
-/// Key of the duties' holder, among the same.
+/// Shared key of the leader.
 constexpr const char *LeaderKey = "leader";
-/// Keys of the roll-outs' records begin so; the service's name follows.
+/// Prefix of the keys of roll-out records; the service's name follows.
 constexpr const char *RolloutKeyPrefix = "rollout/";
 
-/// Who holds a duty, as this daemon may rely on it.
+/// The leadership as this daemon may rely on it.
 struct Leadership {
-    bool held = false; ///< By this daemon, now.
-    uint64_t fencingToken = 0; ///< Grows with each change of the holder, also over eras of the store.
-    TimeMs validUntil; ///< On this daemon's clock; no call may be under way after it.
-    /// What an earlier holder wrote to the store before this may be missing there, though it acted on it.
+    bool held = false; ///< This daemon is the leader now.
+    uint64_t fencingToken = 0; ///< Grows with each change of the leader, also across eras of the store.
+    TimeMs validUntil; ///< On this daemon's clock; no call may be open after it.
+    /// Records that an earlier leader wrote before this time may be missing in the store, though it acted on
+    /// them.
     TimeMs recordsLostBefore;
-    /// Holds in the store as long as nobody has won since. Calls that are carried out late, in another era
-    /// perhaps, must not write records then.
+    /// Condition that holds in the store until another daemon wins. It keeps calls that are executed late,
+    /// perhaps in another era, from writing records.
     StoreCondition stands;
 };
 
 struct StoreSyncSettings {
     MemberEntry self;
     DurationMs leaseTime{3000};
-    DurationMs configurationBound{2000}; ///< A configuration is in force everywhere after this.
-    bool firstStart = false; ///< The whole system starts for the first time: nobody led before.
+    /// Time after which a new configuration must be in force everywhere.
+    DurationMs configurationBound{2000};
+    bool firstStart = false; ///< The system starts for the first time: there was no leader before.
     uint64_t seed = 1;
 };
 
-/// Keeps this daemon in step with the store: reads configuration, members and endpoints at a steady pace,
-/// holds a lease for its own entry, and stands for the leadership of the duties.
+/// Synchronizes this daemon with the store: reads configuration, members and endpoints at fixed intervals,
+/// holds a lease for its own entry, and campaigns for the leadership.
 ///
-/// Only a few daemons read all the time. The others ask one of them how fresh its view is, and read
-/// themselves where it differs from theirs, or where nobody answers. So the store's load does not grow with
-/// the daemons.
+/// Only a few daemons, the store readers, read all the time. The others query one of them for the freshness
+/// of its view, and read themselves where the view differs from theirs or where no reply arrives. So the load
+/// of the store does not grow with the number of daemons.
 ///
-/// Reads overlap: one that hangs on a silent connection does not hold up the next. Freshness is counted from
-/// when a question was sent, since the store may have answered at any time after that.
+/// Reads overlap: one that hangs on an unresponsive connection does not delay the next. The age of a view is
+/// counted from when the read or query was sent, since the store may have replied at any time after that.
 class StoreSync
 {
 public:
@@ -58,55 +60,58 @@
         std::vector<ConfigurationRead> configurations;
         std::vector<EndpointsRead> endpoints;
         std::optional<std::vector<MemberEntry>> members;
-        size_t listed = 0; ///< With `members`: daemons in all, of which these may be a part.
-        InstanceName dutyHolder; ///< With `members`; empty: there is none.
+        size_t listed = 0; ///< With `members`: total number of daemons, of which these may be a part.
+        InstanceName dutyHolder; ///< With `members`; empty: there is no leader.
         std::optional<EntriesTold> entries;
-        std::vector<QuarantinedRequest> quarantine; ///< Of the store, or of a daemon that was asked.
+        std::vector<QuarantinedRequest> quarantine; ///< From the store or from a peer's reply.
         std::optional<RolloutsRead> rollouts;
     };
 
-    /// Roll-outs as this daemon knows them, and what the store holds of them.
+    /// Roll-outs as known to this daemon, and the records that are stored.
     struct Rollouts {
         RolloutsKnown known;
         struct Stored {
             std::string text;
             uint64_t revision = 0;
         };
-        std::map<ServiceName, Stored> stored; ///< Records.
-        bool mayBeOlder = false; ///< The store has just come back older: orders may be missing or overtaken.
+        std::map<ServiceName, Stored> stored; ///< Records, by service.
+        /// The store was just restored from an older copy: orders may be missing or outdated.
+        bool mayBeOlder = false;
     };
     const Rollouts &rollouts(TimeMs now);
-    /// This daemon has stored a record.
+    /// Must be called when this daemon has stored a record.
     void noteRolloutRecord(const RolloutRecord &record, uint64_t revision);
 
     void tick(TimeMs now);
     void onReply(StoreReply reply, TimeMs now);
-    /// Due for each reply of the store, also to calls of other parts, before it is used. One of an era that
-    /// is over tells nothing: what it found or did is gone.
+    /// Must be called for each reply of the store, also to calls of other parts, before the reply is used.
+    /// Invalidates a reply of an earlier era: what it found or wrote is lost.
     void judgeEra(StoreReply &reply, TimeMs now);
-    /// This daemon holds the duties, and has written again what the store lacked of their records.
+    /// Whether this daemon is the leader and has written again the records that the store lacked.
     void setRecordsWhole(bool whole) { recordsAreWhole_ = whole; }
-    /// What this daemon read can't be older than what the others have seen, as far as they are there to tell.
+    /// This daemon's view is not older than what its peers have seen, as far as there are peers to confirm
+    /// it.
     bool isVouchedFor(TimeMs now) const;
-    /// Whom to ask instead of reading; nothing: this daemon reads itself.
+    /// Sets the daemon to query instead of reading; nothing: this daemon reads itself.
     void setSource(const std::optional<Address> &source) { source_ = source; }
-    /// One of the few that read for all keeps its pace whatever the store does. The others, hundreds perhaps,
-    /// read less while it is slow.
+    /// Sets whether this daemon is a store reader. Readers keep their read interval whatever the store does.
+    /// The others, which may be hundreds, read less often while it is slow.
     void setReadsForAll(bool readsForAll, TimeMs now);
-    /// Daemons that left the last questions unanswered. After a while they are tried again.
+    /// Daemons that did not reply to the last queries. After a while they are tried again.
     std::set<Address> silentSources(TimeMs now) const;
-    /// This daemon's own entry says so from now on.
+    /// Sets whether this daemon's own entry lists it as serving.
     void setServing(bool serving);
-    /// The addresses for callers that daemons which ask are told; none if this daemon was told itself.
+    /// Sets the addresses for callers that are sent to peers that query this daemon; empty if this daemon
+    /// received them from a peer itself.
     void setEntries(const std::vector<Address> &entries);
-    /// The requests that this daemon keeps from endpoints, which the store and daemons that ask are told.
+    /// Sets this daemon's quarantine list, which is written to the store and sent to peers that query it.
     void setQuarantine(const std::vector<QuarantinedRequest> &list, TimeMs now);
-    /// Own reads are not answered, though others' may be.
+    /// This daemon's own reads fail, though those of others may succeed.
     bool readsFail(TimeMs now) const;
     void onQuestion(const FreshnessQuestion &question, const Address &from, TimeMs now);
     void onAnswer(const FreshnessAnswer &answer, TimeMs now);
 
-    /// A question or an answer to be sent to another daemon.
+    /// A query or reply to be sent to a peer.
     struct Outgoing {
         Address to;
         std::variant<FreshnessQuestion, FreshnessAnswer> message;
@@ -117,19 +122,19 @@
     News takeNews() { return std::exchange(news_, {}); }
 
     Leadership leadership(TimeMs now) const;
-    /// Gives back what this daemon holds, before it ends.
+    /// Ends this daemon's lease before the process exits.
     void startLeaving(TimeMs now);
 
-    /// Sends a call of another part; its reply is not handled here.
+    /// Reserves the id of a store call that another part sends; its reply is not handled here.
     uint64_t reserveId() { return nextCall_++; }
 
 private:
     static constexpr DurationMs WriteTimeout{2000};
-    static constexpr DurationMs RetryPause{500}; ///< Between two tries of a write.
-    /// A leader stops this long before its lease may have run out, for what is still on its way.
+    static constexpr DurationMs RetryPause{500}; ///< Between two attempts of a write.
+    /// A leader stops this long before its lease may have expired, to allow for calls in transit.
     static constexpr DurationMs LeadershipMargin{700};
-    /// The operators and the endpoints write again what was lost within so long after the store came back
-    /// older.
+    /// Time within which operators and endpoints write lost data again after the store was restored from an
+    /// older copy.
     static constexpr DurationMs SettleTime{5000};
 
     enum class Purpose : uint8_t {
@@ -146,11 +151,11 @@
     struct OpenCall {
         Purpose purpose = Purpose::ReadShared;
         TimeMs sentAt;
-        TimeMs readStartedAt; ///< Of the first page.
+        TimeMs readStartedAt; ///< When the first page was requested.
         std::vector<StoreItem> pages;
         uint64_t lease = 0;
-        bool serving = false; ///< As registered.
-        uint64_t era = 0; ///< Of the first page.
+        bool serving = false; ///< The `serving` value that was sent.
+        uint64_t era = 0; ///< Era of the first page.
     };
 
     static bool isRead(Purpose purpose)
@@ -180,10 +185,10 @@
     void takeRollouts(const OpenCall &open);
     void mergeRollouts(const RolloutsKnown &read, TimeMs readAt);
     void takeRolloutsAnswer(const FreshnessAnswer &answer, TimeMs sharedAt);
-    DurationMs spread(DurationMs most); ///< By chance, less than `most`.
+    DurationMs spread(DurationMs most); ///< Returns a random duration below `most`.
     DurationMs oldestBorrowed() const;
     void checkOwnEntry(TimeMs askedAt);
-    uint64_t knownVersion() const; ///< Of the configuration; 0: none.
+    uint64_t knownVersion() const; ///< Version of the configuration; 0: none.
     void takeEndpoints(const OpenCall &open);
     void onLeaseReply(const OpenCall &open, const StoreReply &reply, TimeMs now);
     void loseLease(TimeMs now, const char *why);
@@ -195,7 +200,7 @@
     bool isEarlierLife(const std::string &leaderValue) const;
     bool mayStand(TimeMs now) const;
     void tellConfiguration(TimeMs askedAt, TimeMs now);
-    // A store that comes back older (storeera.cpp).
+    // A store restored from an older copy (storeera.cpp).
     void enterEra(uint64_t era, TimeMs now);
     void noteFirstView(TimeMs now);
     void keepQuiet(TimeMs now);
@@ -221,10 +226,10 @@
     uint32_t failedReads_ = 0; ///< In a row.
     bool readsForAll_ = true;
     uint32_t slowReads_ = 0; ///< In a row, failed ones included.
-    TimeMs newestShared_; ///< What is known was so in the store at or after this time.
+    TimeMs newestShared_; ///< The view was current in the store at or after this time.
     TimeMs newestEndpoints_;
     bool storeAnswers_ = false;
-    bool sawConfiguration_ = true; ///< In the newest read; its absence is news.
+    bool sawConfiguration_ = true; ///< The newest read found one; a missing configuration is logged.
 
     std::optional<Address> source_;
     TimeMs askAt_;
@@ -236,30 +241,30 @@
     uint64_t nextQuestion_ = 1;
     struct Unanswered {
         uint32_t questions = 0; ///< In a row.
-        TimeMs askedAt; ///< The newest.
+        TimeMs askedAt; ///< Time of the newest query.
     };
     std::map<Address, Unanswered> unanswered_;
-    std::vector<Address> entries_; ///< That daemons which ask are told.
+    std::vector<Address> entries_; ///< Sent to peers in replies.
     uint64_t entriesDigest_ = 0;
     std::vector<Address> toldEntries_;
     uint64_t toldEntriesDigest_ = 0;
-    std::vector<QuarantinedRequest> quarantine_; ///< As this daemon keeps it.
+    std::vector<QuarantinedRequest> quarantine_; ///< As the gateway has it.
     uint64_t quarantineDigest_ = 0;
     uint64_t toldQuarantineDigest_ = 0;
-    std::vector<QuarantinedRequest> storedQuarantine_; ///< As last known.
-    std::vector<QuarantinedRequest> writtenQuarantine_; ///< By the own last write.
-    uint64_t quarantineRevision_ = 0; ///< Of that key; 0: there is none.
-    bool storeLacksQuarantine_ = false; ///< What this daemon keeps is to be written.
+    std::vector<QuarantinedRequest> storedQuarantine_; ///< As last read or written.
+    std::vector<QuarantinedRequest> writtenQuarantine_; ///< Content of this daemon's last write.
+    uint64_t quarantineRevision_ = 0; ///< Revision of the key; 0: it does not exist.
+    bool storeLacksQuarantine_ = false; ///< An own quarantine must be written.
     TimeMs quarantineWriteAt_; ///< Not before.
     Rollouts rollouts_;
     uint64_t rolloutsDigest_ = 0;
     std::vector<Outgoing> outgoing_;
-    ServingConfigurationPtr configuration_; ///< Of the newest read.
+    ServingConfigurationPtr configuration_; ///< From the newest read.
     uint64_t sharedDigest_ = 0;
     EndpointList endpoints_;
 
     uint64_t lease_ = 0;
-    TimeMs leaseValidUntil_; ///< On our clock, counted from when the renewal was sent.
+    TimeMs leaseValidUntil_; ///< On this daemon's clock, counted from when the renewal was sent.
     TimeMs renewAt_;
     bool registered_ = false;
     TimeMs registeredAt_;
@@ -270,26 +275,28 @@
     TimeMs sharedReadAt_;
     LeaderEntry leader_; ///< As last seen.
     bool leaderIsSelf_ = false;
-    bool leaderIsEarlierLife_ = false; ///< The key is of a daemon that ran on this instance before.
-    TimeMs standAt_; ///< Not before, if there is no leader.
-    TimeMs takeBackAt_; ///< Not before, if this instance led in an earlier life.
+    bool leaderIsEarlierLife_ = false; ///< The key was written by an earlier daemon on this instance.
+    TimeMs standAt_; ///< Earliest time to campaign if there is no leader.
+    TimeMs takeBackAt_; ///< Earliest time to campaign if an earlier incarnation on this instance led.
 
-    uint64_t era_ = 0; ///< Of the store; 0: it has stated none.
-    TimeMs eraSeenAt_; ///< When it rose; zero: not since this daemon started.
-    uint64_t sharedEra_ = 0; ///< Of the newest views.
+    uint64_t era_ = 0; ///< Era of the store; 0: not stated yet.
+    TimeMs eraSeenAt_; ///< When the era increased; zero: not since this daemon started.
+    uint64_t sharedEra_ = 0; ///< Era of the newest shared view.
     uint64_t endpointsEra_ = 0;
-    uint64_t settledEra_ = 0; ///< As the store says.
-    uint64_t storedVersion_ = 0; ///< Of the configuration, as the store had it last.
+    uint64_t settledEra_ = 0; ///< As read from the store.
+    uint64_t storedVersion_ = 0; ///< Version of the configuration as last read from the store.
     bool recordsAreWhole_ = false;
     TimeMs settleAt_; ///< Not before.
-    /// This daemon held the duties when the era rose: so long nobody else can have won them.
+    /// Set if this daemon was the leader when the era increased: nobody else can win before this time.
     std::optional<TimeMs> heldUntil_;
-    TimeMs ledSince_; ///< Without a gap in which another one could have led; zero: it does not lead.
-    TimeMs actsFrom_; ///< An earlier holder may act until then, whatever the store says.
-    TimeMs firstViewAt_; ///< This daemon read the store for the first time.
-    bool startedUnsettled_ = false; ///< It may have risen shortly before this daemon started.
+    /// Start of the leadership, without a gap in which another daemon could have led; zero: it is not the
+    /// leader.
+    TimeMs ledSince_;
+    TimeMs actsFrom_; ///< An earlier leader may act until then, whatever the store shows.
+    TimeMs firstViewAt_; ///< When this daemon read the store for the first time.
+    bool startedUnsettled_ = false; ///< The era may have increased shortly before this daemon started.
     bool vouchedFor_ = false;
-    uint64_t leastVersion_ = 0; ///< Of the configuration, as another daemon has seen it.
+    uint64_t leastVersion_ = 0; ///< Version of the configuration that a peer has seen.
 };
 
 } // namespace cranberry
