--- a/src/gateway/duties/leadercalls.h
+++ b/src/gateway/duties/leadercalls.h
@@ -6,7 +6,7 @@
 
 namespace cranberry {
 
-/// Requests of each organisation that began to run in one window.
+/// Number of requests of each organisation whose generation started in one window.
 struct UsageReport {
     int64_t window = 0;
     std::map<OrganisationName, uint64_t> counts;
@@ -20,19 +20,20 @@
     bool reclaimable = false;
 };
 
-/// One call in the name of a duty's holder. Its receiver keeps out older holders by the fencing token.
+/// One call made as the leader. The receiver rejects earlier leaders by the fencing token.
 struct DutyCall {
     uint64_t id = 0;
     uint64_t fencingToken = 0;
-    DurationMs timeout; ///< The call is aborted then: this daemon may not hold the duty any longer.
+    /// The call is aborted after this time, since this daemon may no longer be the leader.
+    DurationMs timeout;
     std::optional<UsageReport> usage;
     std::optional<EngineOrder> order;
 };
 
 enum class DutyOutcome : uint8_t {
     Done,
-    NoneAvailable, ///< Of an order: there are no such engines now.
-    Refused, ///< Nothing was done.
+    NoneAvailable, ///< For an order: no such engines are available.
+    Refused, ///< The call was not executed.
     NoReply
 };
 
--- a/src/gateway/duties/usagereporter.cpp
+++ b/src/gateway/duties/usagereporter.cpp
@@ -10,16 +10,16 @@
 
 namespace json = boost::json;
 
-/// After a window's end its last requests are still being counted and told to the other daemons: a plain call
-/// is counted when its answer begins. Besides, two reports of each daemon must have come, since one may be
-/// lost.
+/// After a window's end its last requests are still being counted and reported to the leader: a call to a
+/// service without model engines is counted when its response begins. In addition, two reports of each daemon
+/// must have arrived, since one may be lost.
 constexpr DurationMs CountingTime{800};
 constexpr int64_t ReportsAwaited = 2;
 constexpr DurationMs CallTimeout{1500};
 constexpr DurationMs RetryPause{400};
-/// Stored windows are deleted when they are this many windows old: nobody can report them any more.
+/// Stored windows are deleted when they are this many windows old: they can no longer be reported.
 constexpr int64_t WindowsKept = 12;
-/// Stored in place of counts that are lost: no later holder reports the window either.
+/// Stored in place of lost counts, so that no later leader reports the window either.
 constexpr const char *LeftOut = "left out";
 
 std::string keyOf(int64_t window)
@@ -58,7 +58,7 @@
 {
     recordsAreWhole_ = false;
     if (!leadership.held || !configuration) {
-        // Whatever is under way may be finished by a successor from what the store holds.
+        // A successor may finish open reports from what the store holds.
         windows_.clear();
         calls_.clear();
         heldSince_.reset();
@@ -68,7 +68,7 @@
         heldSince_ = now;
     const int64_t first = windows.windowAt(now - due_);
     windows_.erase(windows_.begin(), windows_.lower_bound(first));
-    // A holder that has just started has not heard the others yet: its counts would leave theirs out.
+    // A new leader has not received the reports of its peers yet: its counts would lack theirs.
     const DurationMs gatherTime = CountingTime + peers.wholeReportPace() * ReportsAwaited;
     if (now < *heldSince_ + gatherTime)
         return;
@@ -89,8 +89,8 @@
     }
 }
 
-// What is written for a window unless something is stored: what this daemon has sent before, or what was
-// counted, or that it is left out.
+// Chooses what is written for a window if nothing is stored: the counts that this daemon has sent before, the
+// current counts, or a mark that the window is left out.
 void UsageDuty::decide(int64_t number, Window &window, const Leadership &leadership,
                        const UsageWindows &windows, const PeerTable &peers,
                        const ServingConfigurationPtr &configuration)
@@ -172,8 +172,8 @@
     }
 }
 
-// Somebody has written the window before, perhaps this daemon with a lost reply: that is what counts, unless
-// this daemon has sent others already.
+// The window was written before, perhaps by this daemon with a lost reply. The stored counts are used, unless
+// this daemon has already sent different ones.
 void UsageDuty::onStored(int64_t number, Window &window, const std::string &text, TimeMs now)
 {
     if (text == LeftOut) {
--- a/src/gateway/duties/usagereporter.h
+++ b/src/gateway/duties/usagereporter.h
@@ -12,13 +12,13 @@
 
 namespace cranberry {
 
-/// Reports each window's usage once.
+/// Reports the usage of each window once.
 ///
 /// The counts are written to the store under a condition before they are sent. A successor, or this daemon
-/// after a lost reply, finds them there and sends the same: two different reports of one window can't exist.
-/// Where the store may have lost what an earlier holder wrote, a window that it may have reported is reported
-/// only as stored, or not at all: a missing report can be asked for, a second one that differs can't be taken
-/// back.
+/// after a lost reply, finds them there and sends the same counts, so that no two different reports of one
+/// window can exist. Where the store may have lost what an earlier leader wrote, a window that may have been
+/// reported is reported only with stored counts or not at all: a missing report can be requested later, but a
+/// second, different one can't be taken back.
 class UsageDuty
 {
 public:
@@ -28,7 +28,7 @@
               const ServingConfigurationPtr &configuration, TimeMs now);
     void onStoreReply(const StoreReply &reply, TimeMs now);
     void onDutyReply(uint64_t id, DutyOutcome outcome, TimeMs now);
-    /// This daemon holds the duty, and the store has a record of each window that is due.
+    /// This daemon is the leader, and the store has a record of each window that is due.
     bool recordsAreWhole() const { return recordsAreWhole_; }
 
     std::vector<StoreCall> takeStoreCalls() { return std::exchange(storeCalls_, {}); }
@@ -52,9 +52,10 @@
     bool recordsAreWhole_ = false;
     DecisionLog &log_;
     std::map<int64_t, Window> windows_;
-    /// What this daemon has sent, also before it held the duties anew: the store may have lost its record.
+    /// Counts that this daemon has sent, including those from an earlier leadership: the store may have lost
+    /// its record.
     std::map<int64_t, std::map<OrganisationName, uint64_t>> sent_;
-    std::map<uint64_t, int64_t> calls_; ///< Open calls, by id, to their window.
+    std::map<uint64_t, int64_t> calls_; ///< Window of each open call, by call id.
     std::vector<StoreCall> storeCalls_;
     std::vector<DutyCall> dutyCalls_;
     uint64_t nextCall_ = 1;
--- a/src/gateway/duties/usagewindows.cpp
+++ b/src/gateway/duties/usagewindows.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr size_t MostWindows = 8; ///< Reports are due well before the eighth window is over.
+constexpr size_t MostWindows = 8; ///< Usage must be reported well before the eighth window ends.
 
 } // namespace
 
--- a/src/gateway/duties/usagewindows.h
+++ b/src/gateway/duties/usagewindows.h
@@ -7,16 +7,16 @@
 
 namespace cranberry {
 
-/// Requests that began to run at endpoints, by organisation and window of the time of day.
+/// Counts the requests whose generation started, by organisation and time-of-day window.
 ///
-/// The time of day of an instance may jump. Windows follow the middle of all daemons' clocks instead, as an
+/// The time of day of an instance may jump. Windows follow the median of all daemons' clocks instead, as an
 /// offset to the steady clock.
 class UsageWindows
 {
 public:
     explicit UsageWindows(DurationMs window) : window_(window) { }
 
-    /// Time of day less the steady clock, in milliseconds.
+    /// Sets the time of day minus the steady clock, in milliseconds.
     void setOffset(int64_t offset) { offset_ = offset; }
     int64_t offset() const { return offset_; }
 
