--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -14,14 +14,15 @@
 constexpr DurationMs Step{20};
 constexpr DurationMs LeaseTime{3000};
 
-/// What the receiver of duties accepted, in order.
+/// A call that the receiver of leader calls accepted.
 struct AcceptedCall {
     size_t daemon = 0;
     uint64_t token = 0;
     TimeMs at;
 };
 
-/// Several daemons at one store, in virtual time. A frozen daemon does not run; what was sent to it waits.
+/// Simulates several daemons at one store, in virtual time. A frozen daemon does not run; replies to it wait
+/// in its inbox.
 class DutyWorld
 {
 public:
@@ -82,7 +83,7 @@
     std::shared_ptr<ServingConfiguration> configuration;
     TimeMs now{1'000'000};
     std::vector<AcceptedCall> accepted;
-    std::map<int64_t, std::set<std::string>> reports; ///< Different contents sent for a window.
+    std::map<int64_t, std::set<std::string>> reports; ///< Distinct contents sent for each window.
     uint64_t loseDutyReplyPercent = 0;
 
 private:
@@ -105,7 +106,8 @@
         if (now < daemon.frozenUntil)
             return;
         for (const StoreReply &reply : std::exchange(daemon.inbox, {})) {
-            // Calls of the duty carry ids of their own; here they are told apart by a high bit.
+            // The usage reporter assigns its own call ids; a high bit tells them from those of the store
+            // sync.
             if ((reply.id & DutyBit) != 0) {
                 StoreReply own = reply;
                 own.id &= ~DutyBit;
@@ -136,7 +138,7 @@
         }
     }
 
-    // The promises, at every step.
+    // Checks at every step that there is at most one leader.
     void check()
     {
         size_t holders = 0;
@@ -149,8 +151,8 @@
     std::vector<std::unique_ptr<OneDaemon>> daemons_;
 };
 
-// Tokens never go down, two daemons never share one, and nobody acts again within a lease after somebody
-// else.
+// Checks that tokens never decrease, that no two daemons share one, and that no daemon acts again within a
+// lease's time after its previous call if another daemon acted in between.
 void checkAccepted(const std::vector<AcceptedCall> &accepted)
 {
     std::map<uint64_t, size_t> daemonOfToken;
@@ -175,9 +177,9 @@
 
 } // namespace
 
-TEST_CASE("one daemon holds the duties, and another one soon after it is killed")
+TEST_CASE("one daemon is the leader, and another one soon after the first is killed")
 {
-    // The holder is killed and comes back only after its lease has lapsed.
+    // The leader is killed and restarts only after its lease has expired.
     DutyWorld world(1);
     world.pass({6000});
     const std::optional<size_t> first = world.holder();
@@ -190,10 +192,10 @@
     CHECK(*world.holder() != *first);
 }
 
-TEST_CASE("a holder that starts again takes its duties back before its old lease lapses")
+TEST_CASE("a leader that restarts resumes its leadership before its old lease expires")
 {
-    // All daemons are killed at once and start again a second later. The holder's key outlives it by its
-    // lease. Nobody else can have led meanwhile, so the holder's instance goes on at once, under a higher
+    // All daemons are killed at once and restart a second later. The leader's key remains until its lease
+    // expires. Nobody else can have led meanwhile, so the leader's instance resumes at once, under a higher
     // token.
     DutyWorld world(7);
     world.pass({6000});
@@ -213,10 +215,11 @@
     checkAccepted(world.accepted);
 }
 
-TEST_CASE("a holder that was suspended does not act on its old lease")
+TEST_CASE("a leader that was suspended does not act on its old lease")
 {
-    // The holder's instance sleeps for ten seconds; its lease lapses and another daemon takes over. When it
-    // wakes up, nothing has told it yet. By its own clock, which counts the sleep, its time is over.
+    // The leader's instance is suspended for ten seconds; its lease expires and another daemon takes over.
+    // When it resumes, it has received no notice of that. By its own clock, which includes the suspension,
+    // its lease is over.
     DutyWorld world(2);
     world.pass({6000});
     const std::optional<size_t> first = world.holder();
@@ -230,7 +233,7 @@
     checkAccepted(world.accepted);
 }
 
-TEST_CASE("a holder cut off from the store stops before its lease can lapse")
+TEST_CASE("a leader cut off from the store stops before its lease can expire")
 {
     DutyWorld world(3);
     world.pass({6000});
@@ -244,7 +247,8 @@
     checkAccepted(world.accepted);
 }
 
-TEST_CASE("an outage of the store ends the duties and gives them back, whether leases lapse or not")
+TEST_CASE(
+    "an outage of the store ends the leadership, and a leader is back after it, whether leases lapse or not")
 {
     for (const bool lapse : {false, true}) {
         DutyWorld world(4);
@@ -262,8 +266,9 @@
 
 TEST_CASE("a usage report whose reply was lost is sent again with the same counts")
 {
-    // The receiver took the report, the reply was lost. Meanwhile more requests were counted for the window.
-    // What is sent again must be the very same, or the receiver has two reports for one window.
+    // The receiver took the report, but the reply was lost. Meanwhile more requests were counted for the
+    // window. The retry must have the same content, or the receiver gets two different reports for one
+    // window.
     DutyWorld world(5);
     world.loseDutyReplyPercent = 70;
     world.pass({40000});
@@ -272,11 +277,10 @@
         CHECK(report.second.size() == 1);
 }
 
-TEST_CASE("a holder that has just started waits for what the others counted")
+TEST_CASE("a leader that has just started waits for the counts of its peers")
 {
-    // The holder is killed and takes its duties back at once. A window ended just before; its requests were
-    // counted by another daemon, which this one hears only now. A report at once would leave them out, for
-    // good.
+    // The leader is killed and resumes at once. A window ended just before; its requests were counted by
+    // another daemon, whose report arrives only now. A usage report sent at once would omit them permanently.
     RecordingLog log;
     UsageDuty duty({10000}, log);
     UsageWindows usage({5000});
@@ -307,11 +311,11 @@
     CHECK(world.store.keyCount(StoreSpace::Archive) <= 14);
 }
 
-TEST_CASE("the holder goes on under a higher token when the store comes back older")
+TEST_CASE("the leader continues under a higher token when the store is restored from an older copy")
 {
-    // The store comes back from a copy of before the holder won. Its key and its lease are gone, and the
-    // revision of its new key is lower than the one it acted under. The receiver of the duties would take
-    // what it sends for an older holder's.
+    // The store is restored from a copy made before the leader won. The leader's key and lease are gone, and
+    // the revision of its new key is lower than the one it acted under. Without the era in the token, the
+    // receiver would take its calls for those of an earlier leader.
     DutyWorld world(8);
     world.pass({200});
     world.store.saveCopy();
@@ -331,10 +335,11 @@
     checkReports(world.reports);
 }
 
-TEST_CASE("a holder of before the copy does not lead beside the one that the store has forgotten")
+TEST_CASE("a leader from the restored copy does not lead beside the one that the store lost")
 {
-    // Daemon A led when the copy was made, was cut off, and B won. The store comes back with A's key. A is
-    // killed and starts again in that moment: the key is of its earlier life, and B still acts on its lease.
+    // Daemon A led when the copy was made, was cut off, and B won. The store is restored with A's key. A is
+    // killed and restarts at that moment: the key is of its earlier incarnation, and B still acts on its
+    // lease.
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
         DutyWorld world(seed);
@@ -356,9 +361,9 @@
     }
 }
 
-TEST_CASE("a window that was reported is not counted anew when the store has lost its record")
+TEST_CASE("a window that was reported is not counted again when the store has lost its record")
 {
-    // The store comes back from a copy of before the newest window was written, and the holder is killed
+    // The store is restored from a copy made before the newest window was written, and the leader is killed
     // before it has written its records again. Its successor finds no record of a report that the receiver
     // has taken.
     for (uint64_t seed = 1; seed <= 20; ++seed) {
@@ -378,10 +383,10 @@
     }
 }
 
-TEST_CASE("a store that comes back older again and again, among other faults")
+TEST_CASE("a store that is restored from older copies repeatedly, among other faults")
 {
-    // The store loses the last seconds at any moment: while holders change, are frozen, killed or turned
-    // away, while replies are lost and calls are carried out late, in the next era perhaps.
+    // The store loses its last seconds at random moments: while the leader changes, daemons are frozen,
+    // killed or rejected, replies are lost, and calls are executed late, perhaps in the next era.
     size_t acts = 0;
     for (uint64_t seed = 1; seed <= 150; ++seed) {
         CAPTURE(seed);
@@ -428,10 +433,10 @@
     CHECK(acts > 1000);
 }
 
-TEST_CASE("under random faults there is one holder, tokens grow, and no window has two reports")
+TEST_CASE("under random faults there is one leader, tokens grow, and no window has two reports")
 {
-    // Replies lost, calls carried out seconds late, outages with and without lapsing leases, refused daemons,
-    // frozen and killed ones, in any order and at the same time.
+    // Lost replies, calls executed seconds late, outages with and without lapsing leases, rejected, frozen
+    // and killed daemons, in any order and at the same time.
     size_t acts = 0;
     for (uint64_t seed = 1; seed <= 150; ++seed) {
         CAPTURE(seed);
@@ -470,7 +475,8 @@
 
 namespace {
 
-/// Two daemons: the first reads the store, the second asks it. The first one's answers can be held back.
+/// Simulates two daemons: the first reads the store, the second queries it. The first one's replies can be
+/// held back.
 class AskingWorld
 {
 public:
@@ -549,7 +555,7 @@
 
 } // namespace
 
-TEST_CASE("a daemon that asks another one hardly reads, and sees changes in time")
+TEST_CASE("a daemon that queries a peer rarely reads the store, and sees changes in time")
 {
     AskingWorld world;
     world.pass({5000});
@@ -564,7 +570,7 @@
     CHECK(world.version == 2);
 }
 
-TEST_CASE("a daemon whose source falls silent reads the store itself")
+TEST_CASE("a daemon whose source stops replying reads the store itself")
 {
     AskingWorld world;
     world.pass({5000});
@@ -575,11 +581,11 @@
     }
 }
 
-TEST_CASE("a daemon that the store turns away goes on with another one's word")
+TEST_CASE("a daemon that the store rejects continues with the replies of a peer")
 {
-    // The store answers this daemon no more, and the others as before. While it is so, daemons come and go.
-    // Its callers are served as long as the configuration is the one that it has; without that it would
-    // refuse every key.
+    // The store rejects this daemon and serves the others as before, while daemons come and go. The daemon
+    // must keep serving callers as long as the configuration is unchanged; without the peer's confirmation it
+    // would reject every key.
     AskingWorld world;
     world.pass({5000});
     world.store.refusedClients = {1};
@@ -589,14 +595,14 @@
         world.pass({500});
         CHECK(world.now - world.confirmedAt < DurationMs{1500});
     }
-    // Another version is no longer confirmed by what the reader says of its own one.
+    // The peer's replies confirm its own new version, not the older one of this daemon.
     world.configuration = std::make_shared<ServingConfiguration>();
     world.configuration->version = 2;
     world.store.putConfiguration(world.configuration);
     const TimeMs changedAt = world.now;
     world.pass({5000});
     CHECK(world.confirmedAt < changedAt + DurationMs{700});
-    // As one of those that read for all it notices that it can't, and when it can again.
+    // As a store reader it detects that its reads fail, and when they succeed again.
     world.syncs[1]->setSource(std::nullopt);
     world.pass({1500});
     CHECK(world.syncs[1]->readsFail(world.now));
@@ -605,9 +611,9 @@
     CHECK_FALSE(world.syncs[1]->readsFail(world.now));
 }
 
-TEST_CASE("daemons that come and go are learned from another daemon, without a call to the store")
+TEST_CASE("members that come and go are learned from a peer, without a call to the store")
 {
-    // Many daemons are restarted in turn. If each change made each of the others read the store, its load
+    // Many daemons are restarted in turn. If each change made every other daemon read the store, its load
     // would grow with the square of their number.
     AskingWorld world;
     world.pass({5000});
@@ -623,7 +629,7 @@
     CHECK(world.now - world.confirmedAt < DurationMs{1300});
 }
 
-TEST_CASE("a daemon that reads for all asks another one when its own reads fail")
+TEST_CASE("a store reader queries a peer when its own reads fail")
 {
     PeerTable peers({"entry-1"});
     peers.setMembers({{{"entry-1"}, {1}, {"north"}, {}, {"10.0.0.1", 91}},
@@ -637,17 +643,19 @@
     CHECK_FALSE(peers.readerToAsk(true, {}, {200}));
     REQUIRE(peers.readerToAsk(false, {}, {200}));
     CHECK(peers.readerToAsk(false, {}, {200})->host == "10.0.0.2");
-    // One that can't read itself only has what it borrowed; its list would be as old as both ways together.
+    // A daemon that can't read the store has only the view received from a peer; a view taken from it would
+    // have the age of both steps together.
     report.sequence = 2;
     report.readsStore = false;
     peers.take(report, {300});
     CHECK_FALSE(peers.readerToAsk(false, {}, {400}));
 }
 
-TEST_CASE("an answer that was held up makes nothing look fresher than it was")
+TEST_CASE("a delayed reply makes nothing look fresher than it was")
 {
-    // The asker stands still for four seconds; the answer waits in its socket. Its configuration was removed
-    // meanwhile. Read after waking up, the answer must count from when the question was sent.
+    // The querying process pauses for four seconds while the reply waits in its socket; meanwhile its
+    // configuration was removed. Processed after the pause, the reply must count from when the query was
+    // sent.
     AskingWorld world;
     world.pass({5000});
     world.holdAnswers = true;
--- a/tests/fleetview_test.cpp
+++ b/tests/fleetview_test.cpp
@@ -1,4 +1,5 @@
-// What daemons know of each other: at 30 to 890 daemons, with kills, losses and cuts, in virtual time.
+// The views that daemons have of each other: 30 to 890 daemons, with kills, lost datagrams and cut
+// connections, in virtual time.
 
 #include "fakestore.h"
 #include "gateway/peers/fleetview.h"
@@ -17,10 +18,10 @@
 constexpr DurationMs EntriesPace{500};
 constexpr double StrongCores = 0.5;
 constexpr double WeakCores = 0.12;
-/// Cores that each strong daemon uses, about what carries callers to half.
+/// Cores used by each strong daemon, about the load at which callers use half of them.
 constexpr double CoresUsed = 0.1;
 
-/// Daemons as their parts see each other: the store, datagrams with their real bytes, and no callers.
+/// Simulates daemons with a store and encoded datagrams, but without callers.
 class FleetWorld
 {
 public:
@@ -49,7 +50,7 @@
         store_.putConfiguration(configuration);
     }
     uint64_t versionAt(size_t i) const { return daemons_[i].gateway->configuration()->version; }
-    /// The store does not answer; leases lapse meanwhile.
+    /// The store does not reply; leases lapse meanwhile.
     void breakStore(bool down)
     {
         store_.faults.down = down;
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The store turns each `nth` daemon away; 0: none.
+    /// The store rejects every `nth` daemon; 0: none.
     void turnAway(size_t nth)
     {
         store_.refusedClients.clear();
@@ -148,7 +149,8 @@
         const OneDaemon &daemon = daemons_[i];
         return daemon.fleet->entryAddresses({callerAddress(i), daemon.cores}, coresUsed(daemon), now);
     }
-    /// Three engines, or so many, end under one request, as one daemon alone comes to know.
+    /// Reports to one daemon only that `ends` engines, from number `first` on, crashed while they ran the
+    /// request.
     void endEnginesUnder(size_t i, RequestDigest request, int ends = 3, int first = 0)
     {
         CrashNotice notice;
@@ -156,7 +158,7 @@
             notice.losses.push_back({request, {EndpointId{fmt::format("engine-{}", end)}, {}}, false});
         daemons_[i].gateway->onCrashNotice(notice, now);
     }
-    /// Daemons that are up and keep the request from endpoints.
+    /// Number of daemons that are up and have the request in quarantine.
     size_t keepingBack(RequestDigest request)
     {
         size_t keeping = 0;
@@ -181,7 +183,7 @@
     void saveStore() { store_.saveCopy(); }
     void comeBackOlder() { store_.comeBackFromCopy(); }
     size_t members() const { return store_.keyCount(StoreSpace::Shared); }
-    /// Writes that were asked for within one second, at most, since the last `resetTraffic`.
+    /// Maximum number of writes sent within one second since the last `resetTraffic`.
     size_t mostWritesInASecond() const
     {
         size_t most = 0;
@@ -190,7 +192,7 @@
         return most;
     }
     double storeReads() const { return static_cast<double>(storeReads_); }
-    /// Daemons that are up and name one of those that are down to callers.
+    /// Number of daemons that are up and advertise a daemon that is down to callers.
     size_t namingTheDead()
     {
         size_t naming = 0;
@@ -205,7 +207,7 @@
     }
     static size_t indexOf(const Address &address) { return address.port - FirstPort; }
 
-    /// What daemons sent and read in a time.
+    /// Bytes and datagrams that a daemon sent and received since the last `resetTraffic`.
     struct Traffic {
         double bytes = 0;
         double datagrams = 0;
@@ -246,7 +248,7 @@
         return daemon.cores == StrongCores ? CoresUsed : 0.002;
     }
 
-    // As the daemon does it at each of its ticks.
+    // Runs the same steps as the daemon at each of its ticks.
     void tick(size_t i)
     {
         OneDaemon &daemon = daemons_[i];
@@ -339,7 +341,7 @@
     std::vector<OneDaemon> daemons_;
     std::vector<Datagram> datagrams_;
     uint64_t incarnations_ = 0;
-    std::map<int64_t, size_t> writes_; ///< By second.
+    std::map<int64_t, size_t> writes_; ///< Number of writes, by second.
     uint64_t storeReads_ = 0;
 };
 
@@ -347,10 +349,10 @@
 
 } // namespace
 
-TEST_CASE("what a daemon spends on the others does not grow with the number of daemons")
+TEST_CASE("the traffic of a daemon does not grow with the number of daemons")
 {
-    // Eighteen daemons serve, the rest stands by. When each told each other one, a daemon among 295 sent and
-    // read 160 reports a second, and knew of the others what was so up to 3.5 s ago.
+    // Eighteen daemons serve, the rest are on standby. When each daemon reported to every other one, a daemon
+    // among 295 sent and received 160 reports a second, and its view of the others was up to 3.5 s old.
     for (const size_t count : {30U, 100U, 295U, 890U}) {
         FleetWorld world(count, Strong);
         world.pass({14000});
@@ -365,7 +367,7 @@
             most = std::max(most, world.trafficOf(i).bytes / 5);
         }
         MESSAGE(count << " daemons, " << serving << " serve: " << mostStandby
-                      << " B/s of one that stands by, " << mostServing << " B/s at most; "
+                      << " B/s per standby daemon at most, " << mostServing << " B/s at most; "
                       << world.storeReads() / 5 << " store reads/s");
         CHECK(serving == Strong);
         CHECK(mostStandby < 2500);
@@ -375,10 +377,10 @@
     }
 }
 
-TEST_CASE("a dead daemon is no longer named to callers after 2.5 s, however many daemons there are")
+TEST_CASE("a dead daemon is no longer advertised to callers after 2.5 s, for any number of daemons")
 {
-    // Callers ask any daemon where to connect, keep the answer for seconds, and lose a second for each dead
-    // address that they try. When reports went to all in turn, 295 daemons named a dead one for 21 s.
+    // Callers request addresses from any daemon, cache the reply for seconds, and lose a second for each dead
+    // address they try. When reports went to all daemons in turn, 295 daemons advertised a dead one for 21 s.
     for (const size_t count : {30U, 100U, 295U}) {
         FleetWorld world(count, Strong);
         world.pass({8000});
@@ -389,10 +391,12 @@
     }
 }
 
-TEST_CASE("after all daemons were killed callers are served as soon as these have read the store")
+TEST_CASE(
+    "after all daemons were killed, callers are served as soon as the restarted ones have read the store")
 {
-    // All processes end at once and start again; the store's list still shows their earlier lives. Callers
-    // ask any of them: each must name daemons that serve, though it has heard of none yet.
+    // All processes exit at once and restart; the store still lists their earlier incarnations. Callers
+    // request addresses from any of them: each must return daemons that serve, though it has received no
+    // report yet.
     for (const size_t count : {10U, 100U, 295U}) {
         FleetWorld world(count, std::min<size_t>(count, Strong));
         world.pass({8000});
@@ -406,10 +410,10 @@
     }
 }
 
-TEST_CASE("when all that serve lose power, others take their place")
+TEST_CASE("when all serving daemons lose power, standby daemons replace them")
 {
-    // Eighteen strong instances are gone for good. Those that stand by ask them in vain, read the store, and
-    // see the dead until their leases end; then a part of them serves.
+    // Eighteen strong instances are gone for good. The standby daemons get no reply from them, read the
+    // store, and see the dead daemons until their leases expire; then some of them start to serve.
     FleetWorld world(100, Strong);
     world.pass({8000});
     for (size_t i = 0; i < Strong; ++i)
@@ -422,7 +426,7 @@
         serving += world.serves(i) ? 1 : 0;
     CHECK(serving >= LeastEntries);
     CHECK(serving <= 40);
-    // They are back: callers go to them again.
+    // The instances restart: callers are sent to them again.
     for (size_t i = 0; i < Strong; ++i)
         world.start(i);
     world.pass({2500});
@@ -432,12 +436,12 @@
     CHECK(named == Strong);
 }
 
-TEST_CASE("engines that come and go all the time are learned without reading the store more")
+TEST_CASE("frequent changes of engines are learned without additional reads of the store")
 {
-    // A wave of reclaims: 600 engines, twelve of them replaced each half second, one by one. Daemons that
-    // were killed meanwhile start and read the list themselves, so that the reader they ask does not know
-    // their version. When that made them read again, they did so at each answer: 281 reads a second in one
-    // play.
+    // A wave of reclaims: 600 engines, twelve of them replaced every half second, one by one. Daemons that
+    // were killed meanwhile restart and read the list themselves, so the reader that they query does not know
+    // their version. When that made them read again, they did so at each reply: 281 reads a second in one
+    // soak run.
     FleetWorld world(100, Strong);
     size_t first = 0;
     size_t next = 0;
@@ -460,7 +464,7 @@
     }
     for (size_t i = 0; i < world.count(); ++i)
         most = std::max(most, world.serves(i) ? 0 : world.trafficOf(i).bytes / 8);
-    MESSAGE("store reads/s: " << world.storeReads() / 8 << ", " << most << " B/s of one that stands by");
+    MESSAGE("store reads/s: " << world.storeReads() / 8 << ", " << most << " B/s per standby daemon at most");
     CHECK(world.storeReads() / 8 < 30);
     CHECK(most < 25000);
     world.pass({2000});
@@ -468,12 +472,12 @@
         REQUIRE(world.enginesKnownTo(i) == 600);
 }
 
-TEST_CASE("a store that is slow with the reads of a whole start is not read the more for that")
+TEST_CASE("a store that is slow while all daemons start is not read more often for that")
 {
-    // All daemons lose power and start again; a large configuration takes the store's link 3 ms for each that
-    // reads it. When a daemon began a further read while one was under way, the store was busy with answers
-    // that nobody waited for any more: views stayed seconds old until the end, and requests went to engines
-    // that had left.
+    // All daemons lose power and restart; sending a large configuration occupies the store's link for 3 ms
+    // per read. When a daemon started another read while one was open, the store was busy with replies that
+    // nobody waited for any more: views stayed seconds old until the end, and requests went to engines that
+    // had left.
     FleetWorld world(295, Strong);
     world.limitStore(300);
     world.pass({14000});
@@ -491,7 +495,7 @@
     world.resetTraffic();
     world.pass({5000});
     CHECK(world.storeReads() / 5 < 20);
-    // A third of the daemons is turned away for nine seconds.
+    // The store rejects a third of the daemons for nine seconds.
     world.turnAway(3);
     world.pass({9000});
     world.turnAway(0);
@@ -502,11 +506,11 @@
     CHECK(world.storeReads() / 5 < 40);
 }
 
-TEST_CASE("after an outage of the store a new configuration is soon in force everywhere")
+TEST_CASE("after an outage of the store, a new configuration is soon in force everywhere")
 {
-    // The store is away for ten seconds, and the daemons' entries lapse with it. For a moment a daemon that
-    // reads for all does not find itself in the list, and pauses as the others do while the store is slow. If
-    // it kept that pause, a key that is removed just then would be served for seconds more.
+    // The store is down for ten seconds, and the daemons' entries lapse. For a moment a store reader does not
+    // find itself in the list, and uses the longer read interval of the other daemons while the store is
+    // slow. If it kept that interval, a key removed just then would be accepted for seconds more.
     for (const size_t count : {3U, 8U, 30U, 100U}) {
         for (uint64_t version = 2; version < 8; ++version) {
             CAPTURE(count);
@@ -524,7 +528,7 @@
     }
 }
 
-TEST_CASE("lost datagrams make no daemon forget those that serve")
+TEST_CASE("lost datagrams do not remove serving daemons from any view")
 {
     FleetWorld world(100, Strong);
     world.pass({8000});
@@ -538,11 +542,11 @@
     CHECK(world.storeReads() / 10 < 60);
 }
 
-TEST_CASE("a request that ends engines is known to all daemons within seconds, however many there are")
+TEST_CASE("a request that crashes engines is known to all daemons within seconds, for any number of daemons")
 {
-    // Callers keep old addresses and come to any daemon. One daemon alone knows that a request ended three
-    // engines: its words to the others were lost. The store tells them, and those that stand by hear it from
-    // one that reads. Within three seconds no daemon sends the request on.
+    // Callers use old addresses and connect to any daemon. Only one daemon knows that a request crashed three
+    // engines, since its notices to the others were lost. They learn it from the store, and standby daemons
+    // from a store reader. Within three seconds no daemon forwards the request.
     constexpr RequestDigest Request{7};
     for (const size_t count : {8U, 100U, 295U, 890U}) {
         FleetWorld world(count, Strong);
@@ -559,15 +563,15 @@
         for (size_t i = 0; i < count; ++i)
             most = std::max(most, world.serves(i) ? 0 : world.trafficOf(i).bytes);
         MESSAGE(count << " daemons: all know after " << after.count << " ms; " << most
-                      << " B at most of one that stands by, " << world.storeReads() << " store reads");
+                      << " B per standby daemon at most, " << world.storeReads() << " store reads");
         CHECK(after.count <= 3000);
     }
 }
 
-TEST_CASE("a request that ends engines is still known when all daemons were killed")
+TEST_CASE("a request that crashes engines is still known after all daemons were killed")
 {
-    // The callers who send it come back to daemons that have just started. These must have it from the store,
-    // before they take a request.
+    // The callers that send it return to daemons that have just started. These must have read it from the
+    // store before they accept a request.
     constexpr RequestDigest Request{7};
     FleetWorld world(30, Strong);
     world.pass({14000});
@@ -581,10 +585,11 @@
     CHECK(world.keepingBack(Request) == world.count());
 }
 
-TEST_CASE("a verdict that falls while the store is away is in the store soon after its return")
+TEST_CASE("a quarantine decided while the store is down is stored soon after the outage")
 {
-    // The daemon that knows can't write. Its words reach those that serve; those that stand by ask about the
-    // store and hear nothing while the views of the readers are old. When the store is back all know.
+    // The daemon that knows can't write. Its notices reach the serving daemons; standby daemons get no
+    // replies to their queries while the views of the readers are old. When the store is back, all learn of
+    // it.
     constexpr RequestDigest Request{7};
     FleetWorld world(100, Strong);
     world.pass({14000});
@@ -598,9 +603,9 @@
     CHECK(world.keepingBack(Request) == 100);
 }
 
-TEST_CASE("verdicts of many requests at once are all written, whoever writes first")
+TEST_CASE("quarantines of many requests at once are all stored, whichever daemon writes first")
 {
-    // Several daemons come to different verdicts in the same moment. The write of one must not take back that
+    // Several daemons quarantine different requests at the same moment. The write of one must not undo that
     // of another.
     FleetWorld world(30, Strong);
     world.pass({14000});
@@ -611,11 +616,11 @@
         CHECK(world.keepingBack({100 + i}) == 30);
 }
 
-TEST_CASE("a verdict that falls while another one is being written is written as well")
+TEST_CASE("a quarantine decided while another one is being written is stored as well")
 {
-    // The store takes 0.3 s for each call. A verdict that falls between the sending of a write and its answer
-    // was not in what was written: taken for written, it would be lost with the daemon. Others about
-    // would write it; here there is one daemon alone.
+    // The store takes 0.3 s for each call. A quarantine decided between the sending of a write and its reply
+    // was not part of that write: if it were taken for written, it would be lost with the daemon. Other
+    // daemons would write it; this test has only one daemon.
     FleetWorld world(1, 1);
     world.pass({14000});
     const size_t knows = world.indexOfServing();
@@ -630,10 +635,10 @@
     }
 }
 
-TEST_CASE("a full list makes room for the newest verdict")
+TEST_CASE("a full list makes room for the newest quarantine")
 {
-    // More requests are in quarantine than the store's list holds. The newest must not wait for one to end: a
-    // daemon that starts would not know of it.
+    // More requests are in quarantine than the store's list holds. The newest must not wait until one
+    // expires: a daemon that starts would not know of it.
     FleetWorld world(8, Strong);
     world.pass({14000});
     const size_t knows = world.indexOfServing();
@@ -650,10 +655,10 @@
     CHECK(world.keepingBack({7}) == world.count());
 }
 
-TEST_CASE("a daemon that starts later counts on from what the others have seen")
+TEST_CASE("a daemon that starts later continues the crash counts of its peers")
 {
-    // Two engines have ended under a request, not enough for a verdict. A daemon that was killed starts
-    // again, and a third engine ends there: it must know of the first two.
+    // Two engines crashed under a request, too few for a quarantine. A daemon that was killed restarts, and a
+    // third engine crashes there: it must know of the first two.
     constexpr RequestDigest Request{7};
     FleetWorld world(30, Strong);
     world.pass({14000});
@@ -671,10 +676,11 @@
     CHECK(world.keepingBack(Request) == 1);
 }
 
-TEST_CASE("after the store came back older all write their entries again, but not together")
+TEST_CASE(
+    "after the store was restored from an older copy all daemons write their entries again, but not together")
 {
-    // The store has lost the entries and leases of all daemons. All learn of it within a second. If all wrote
-    // at once, the store would refuse most of them, and they would try again together.
+    // The store has lost the entries and leases of all daemons, and all notice within a second. If all wrote
+    // at once, the store would reject most of the writes, and the retries would collide again.
     for (const size_t count : {8, 100, 295, 890}) {
         CAPTURE(count);
         FleetWorld world(count, std::min<size_t>(count, 20));
@@ -690,10 +696,10 @@
     }
 }
 
-TEST_CASE("what is kept from engines is in the store again after it came back older")
+TEST_CASE("quarantines are stored again after the store was restored from an older copy")
 {
-    // The verdict was written after the copy was made. Daemons that start later learn it from the store alone
-    // when all are killed.
+    // The quarantine was written after the copy was made. When all daemons are killed, the restarted ones can
+    // learn it from the store only.
     FleetWorld world(30, 8);
     world.pass({6000});
     world.saveStore();
--- a/tests/storeera_test.cpp
+++ b/tests/storeera_test.cpp
@@ -1,5 +1,5 @@
-// A store that comes back from an older copy of itself: what daemons that lived through it, and those that
-// start just after it, may believe.
+// A store that is restored from an older copy of itself: which views stay valid for daemons that ran through
+// the restore and for those that start just after it.
 
 #include "fakestore.h"
 #include "gateway/store/storesync.h"
@@ -21,7 +21,7 @@
     return out;
 }
 
-/// Daemons at one store that ask each other. The newest configuration that each took is kept.
+/// Simulates daemons at one store that query each other. Keeps the newest configuration that each received.
 class EraWorld
 {
 public:
@@ -41,7 +41,7 @@
         versions.push_back(0);
         return i;
     }
-    /// If it holds the duties, its records are whole.
+    /// Its records are complete, should it be the leader.
     void makeRecordsWhole(size_t i) { syncs_[i]->setRecordsWhole(true); }
     void ask(size_t asker, size_t asked) { syncs_[asker]->setSource(addressOf(asked)); }
 
@@ -68,7 +68,7 @@
     FakeStore store;
     RecordingLog log;
     TimeMs now{1'000'000};
-    std::vector<uint64_t> versions; ///< 0: a daemon has none.
+    std::vector<uint64_t> versions; ///< 0: the daemon has none.
 
 private:
     static Address addressOf(size_t i) { return {"10.0.0.1", static_cast<uint16_t>(90 + i)}; }
@@ -110,11 +110,11 @@
 
 } // namespace
 
-TEST_CASE("a daemon that starts just after the return waits for a configuration that the others have seen")
+TEST_CASE("a daemon that starts just after a restore waits for a configuration that its peers have seen")
 {
-    // Version 8 takes a key away and is acknowledged. The store comes back from a copy of before, and the
+    // Version 8 removes a key and is acknowledged. The store is restored from an earlier copy, and the
     // operators write version 8 again only seconds later. A daemon that starts in between reads version 7 and
-    // would serve the key, though the others have known better for long.
+    // would accept the key, although its peers know of its removal.
     EraWorld world;
     const size_t first = world.start();
     world.pass({3000});
@@ -134,8 +134,8 @@
     CHECK(world.versions[first] == 8);
 }
 
-// Guards against a removed key that is served again because the holder settled the era too early.
-TEST_CASE("an era is not settled while the store lacks a configuration that its holder has seen")
+// Guards against a removed key that is accepted again because the leader settled the era too early.
+TEST_CASE("an era is not settled while the store lacks a configuration that the leader has seen")
 {
     EraWorld world;
     const size_t first = world.start();
@@ -154,8 +154,9 @@
     CHECK(world.versions[late] == 8);
 }
 
-// Guards against a removed key that is served again: a store that came back from before its first settling.
-TEST_CASE("a later era that was never settled is not believed at once")
+// Guards against a removed key that is accepted again after the store was restored from a copy made before
+// its era was first settled.
+TEST_CASE("the view of a later era that was never settled is not used at once")
 {
     EraWorld world;
     world.store.remove(StoreSpace::Shared, SettledEraKey);
@@ -175,8 +176,8 @@
     CHECK(world.versions[late] == 8);
 }
 
-// Guards against a removed key that is served again because the store was read for the first time late.
-TEST_CASE("the time of rewriting begins with a daemon's first view of the store")
+// Guards against a removed key that is accepted again because the first read of the store succeeded late.
+TEST_CASE("the time to restore the configuration starts with a daemon's first view of the store")
 {
     EraWorld world;
     world.store.saveCopy();
@@ -192,9 +193,10 @@
     CHECK(world.versions[late] == 8);
 }
 
-TEST_CASE("a daemon that starts just after the return, with none to ask, serves after the time of rewriting")
+TEST_CASE(
+    "a daemon that starts just after a restore, without peers to query, serves after the time to restore")
 {
-    // All were killed in the same moment: nobody knows more than the store.
+    // All daemons were killed at the same moment: none knows more than the store.
     EraWorld world;
     world.store.saveCopy();
     world.store.comeBackFromCopy();
@@ -223,9 +225,9 @@
     CHECK_FALSE(takesWork(fleet, now));
 }
 
-TEST_CASE("an endpoint that had gone is used again once its entry outlived the return")
+TEST_CASE("an endpoint that had gone is used again if its entry is kept after the restore")
 {
-    // It ended without a word after the copy was made. The older store lists it until its entry lapses.
+    // It crashed after the copy was made. The restored store lists it until its entry lapses.
     EndpointFleet fleet;
     TimeMs now{100'000};
     fleet.take({{makeEntry("i-1")}, now, 4}, now);
@@ -239,9 +241,10 @@
     CHECK(takesWork(fleet, now));
 }
 
-TEST_CASE("an endpoint that the older store lacks is kept until it could write its entry again")
+TEST_CASE("an endpoint that the restored store lacks is kept until it could write its entry again")
 {
-    // It started after the copy was made. Left out at once, all requests would crowd on the others.
+    // It started after the copy was made. If it were dropped at once, all requests would go to the remaining
+    // endpoints.
     EndpointFleet fleet;
     TimeMs now{100'000};
     fleet.take({{makeEntry("i-1")}, now, 4}, now);
