--- a/src/common/clock.h
+++ b/src/common/clock.h
@@ -16,8 +16,8 @@
     friend constexpr DurationMs operator/(DurationMs a, int64_t divisor) { return {a.count / divisor}; }
 };
 
-/// A point on one process's monotonic clock, in milliseconds. Never sent to another process: what
-/// crosses the network is a DurationMs.
+/// A point on one process's monotonic clock, in milliseconds. It has no meaning in another process, so
+/// messages between processes carry a DurationMs instead.
 struct TimeMs {
     int64_t count = 0;
 
--- a/src/common/fields.h
+++ b/src/common/fields.h
@@ -14,7 +14,7 @@
 template <typename T>
 using Result = boost::leaf::result<T>;
 
-/// Names the field that was wrong, as a path such as services[2].endpoints[0].slots, and says why.
+/// An invalid field, as a path such as services[2].endpoints[0].slots, and the reason.
 struct FieldError {
     std::string path;
     std::string message;
@@ -23,7 +23,7 @@
 std::string toText(const FieldError &error);
 
 /// Reads the fields of one JSON object into an aggregate. Keeps the first error; finish() also reports
-/// fields that no one asked for, so that a misspelt name is never ignored.
+/// fields that were never read, so that a misspelt name is not ignored.
 class FieldReader
 {
 public:
@@ -50,13 +50,14 @@
     std::vector<std::pair<const boost::json::value *, std::string>> elements(const char *name,
                                                                              bool isRequired);
 
-    void fail(const std::string &name, std::string message); ///< An error of meaning, on field `name`.
-    void adopt(const FieldError &error); ///< An error found in a nested object.
-    void markKnown(const char *name) { known_.insert(name); } ///< Read by another function.
+    void fail(const std::string &name, std::string message); ///< Reports a semantic error in field `name`.
+    void adopt(const FieldError &error); ///< Takes over an error from a nested object.
+    void markKnown(const char *name) { known_.insert(name); } ///< For a field that other code reads.
     bool ok() const { return !failed_; }
     const std::string &path() const { return path_; }
     const FieldError *finish(); ///< The first error, or nullptr.
-    /// The first error apart from unknown fields: for texts of others, which may gain fields at any time.
+    /// The first error, ignoring unknown fields: for documents of other systems, which may gain fields at any
+    /// time.
     const FieldError *error() const { return failed_ ? &error_ : nullptr; }
     /// The nested object or value itself; nullptr if it is absent.
     const boost::json::value *nested(const char *name) { return find(name, false); }
@@ -72,8 +73,9 @@
     bool failed_ = false;
 };
 
-/// The whole number that `value` holds; nothing if there is none, or one that does not fit. The library's
-/// conversion without an error code throws for a fraction, and texts of others would end the process.
+/// Returns the integer that `value` holds, or nothing if it is absent, not an integer or out of range. Uses
+/// the conversion with an error code: the other one throws for a fraction, and an uncaught exception on
+/// external input would terminate the process.
 template <typename Number>
 std::optional<Number> wholeNumber(const boost::json::value *value)
 {
@@ -82,7 +84,7 @@
     return !value || !value->is_number() || notWhole ? std::nullopt : std::optional<Number>(number);
 }
 
-/// Parses text as JSON; the error names the line.
+/// Parses JSON; the error names the line.
 Result<boost::json::value> parseJson(const std::string &text);
 
 } // namespace cranberry
--- a/src/common/httpfields.h
+++ b/src/common/httpfields.h
@@ -14,7 +14,7 @@
 
 using HttpHeaders = std::vector<HttpHeader>;
 
-/// The value of a header (name compared without case), or an empty string.
+/// Returns the value of the first header with this name (compared case-insensitively), or an empty string.
 std::string headerOf(const HttpHeaders &headers, const std::string &name);
 
 struct HttpRequest {
@@ -24,7 +24,7 @@
     std::string body;
 };
 
-/// A target taken apart: the path and the decoded query fields.
+/// A parsed request target: the path as received and the percent-decoded query fields.
 struct HttpTarget {
     std::string path;
     HttpHeaders query;
--- a/src/common/random.h
+++ b/src/common/random.h
@@ -5,7 +5,7 @@
 
 namespace cranberry {
 
-/// The one source of chance in the core; seeded, so that a run can be repeated.
+/// The only source of randomness in the core; seeded, so that a simulation is reproducible.
 class Random
 {
 public:
--- a/src/common/types.h
+++ b/src/common/types.h
@@ -11,7 +11,7 @@
 
 namespace cranberry {
 
-/// A name given by people or by the platform; the tag keeps the kinds apart.
+/// A name assigned by operators or by the platform; the tag makes each kind of name a distinct type.
 template <typename Tag>
 struct Name {
     std::string value;
@@ -21,7 +21,7 @@
 };
 
 using InstanceName = Name<struct InstanceTag>; ///< A machine.
-using FailureDomainName = Name<struct FailureDomainTag>; ///< A zone that fails as one.
+using FailureDomainName = Name<struct FailureDomainTag>; ///< A zone whose machines can fail together.
 using OrganisationName = Name<struct OrganisationTag>; ///< A customer.
 using ServiceName = Name<struct ServiceTag>;
 using EndpointName = Name<struct EndpointTag>; ///< A back end.
@@ -38,8 +38,8 @@
 std::string toText(const Address &address);
 std::optional<Address> addressFromText(const std::string &text);
 
-/// One life of one daemon: a random number drawn at process start. Only equality is ever used, so no
-/// agreement is needed to draw it (docs/design/identity.md). 0 stands for "nobody".
+/// Identifies one process lifetime of a daemon: a random number generated at process start. Only equality
+/// matters, so daemons need no agreement to generate it (docs/design/identity.md). 0 means "none".
 struct Incarnation {
     uint64_t value = 0;
 
@@ -47,12 +47,12 @@
     explicit constexpr operator bool() const { return value != 0; }
 };
 
-/// Names a request everywhere: the daemon that accepted it, its number there, and the daemon that holds
-/// the witness copy, so that any entry can find both without a directory.
+/// Identifies a request in the whole system: the daemon that accepted it, its sequence number there, and the
+/// daemon that holds the witness copy, so that any daemon can locate both without a directory.
 struct RequestId {
     Incarnation owner;
     uint64_t sequence = 0;
-    Incarnation witness; ///< A hint where to look, no part of the identity.
+    Incarnation witness; ///< A lookup hint; not part of the identity.
 
     friend constexpr bool operator==(const RequestId &a, const RequestId &b)
     {
@@ -63,8 +63,9 @@
 std::string toText(const RequestId &id);
 std::optional<RequestId> requestIdFromText(const std::string &text);
 
-/// The key of non-idempotent work. A session names its register; a bare key (no session) is registered
-/// in the platform's service (docs/design/at-most-once.md).
+/// The key of a non-idempotent request. A key in a session is registered at the daemon that opened the
+/// session (`registrar`); a bare key (no session) is registered in the platform's
+/// service (docs/design/at-most-once.md).
 struct OnceKey {
     Incarnation registrar;
     uint64_t session = 0;
@@ -82,12 +83,12 @@
     friend constexpr std::strong_ordering operator<=>(CallerId, CallerId) = default;
 };
 
-struct AttemptId { ///< One try at one endpoint, at this daemon.
+struct AttemptId { ///< One attempt of this daemon to serve a request at one endpoint.
     uint64_t value = 0;
     friend constexpr std::strong_ordering operator<=>(AttemptId, AttemptId) = default;
 };
 
-struct Revision { ///< A version of the configuration; only ever grows.
+struct Revision { ///< A version of the configuration; increases monotonically.
     uint64_t value = 0;
     friend constexpr std::strong_ordering operator<=>(Revision, Revision) = default;
 };
@@ -95,10 +96,11 @@
 enum class ServiceKind : uint8_t { Model, Plain };
 enum class WorkClass : uint8_t { Interactive, Batch };
 
-/// What the caller is told when the answer is not had. The list is closed.
+/// What a caller learns about a request without a response: it did not run, or its fate is unknown. No other
+/// values will be added.
 enum class Outcome : uint8_t { NotRun, Unknown };
 
-/// Why work was refused or given up. One counter each.
+/// Why a request was refused or abandoned. Each reason has its own counter.
 enum class RefusalReason : uint8_t {
     NotReady,
     UnknownOrganisation,
@@ -117,11 +119,11 @@
     RetriesExhausted,
     RequestNotFound,
     OwnerGone,
-    RequestQuarantined, ///< Endpoints ended under the same request before.
+    RequestQuarantined, ///< Endpoints crashed while they processed this request.
     Count
 };
 
-/// Why an attempt was repeated at another endpoint. One counter each.
+/// Why a request was retried at another endpoint. Each reason has its own counter.
 enum class RetryReason : uint8_t {
     ConnectFailed,
     SaidNotRun,
@@ -135,43 +137,43 @@
 const char *toText(RetryReason reason);
 const char *toText(Outcome outcome);
 
-/// What a caller asked for, as read from its request; never changed afterwards.
+/// A caller's request after decoding; immutable afterwards.
 struct RequestSpec {
     OrganisationName organisation;
     ServiceName service;
-    std::string path; ///< Target below the service, for plain calls.
-    std::string method; ///< HTTP method for plain calls.
+    std::string path; ///< Request target relative to the service, for plain HTTP services.
+    std::string method; ///< HTTP method, for plain HTTP services.
     std::string body; ///< As received.
-    std::string prompt; ///< Text of all messages, for prefix knowledge and the work estimate.
+    std::string prompt; ///< Text of all messages, for prefix matching and the cost estimate.
     bool stream = false;
     bool idempotent = true;
     WorkClass workClass = WorkClass::Interactive;
-    uint32_t maxTokens = 0; ///< Asked for by the caller.
-    DurationMs deadline; ///< From arrival.
+    uint32_t maxTokens = 0; ///< Maximum requested by the caller.
+    DurationMs deadline; ///< Relative to the arrival of the request.
     OnceKey key;
-    uint32_t attempt = 1; ///< The caller's own count of tries with this key.
+    uint32_t attempt = 1; ///< The caller's attempt number for this key.
 
     friend bool operator==(const RequestSpec &, const RequestSpec &) = default;
 };
 
-/// End of an answer: what the caller checks the whole against.
+/// Final properties of a response; the caller verifies the complete response against them.
 struct AnswerEnd {
     int status = 200;
     std::string contentType;
     std::string finishReason;
     uint64_t length = 0;
-    uint64_t digest = 0; ///< XXH3 of the whole text.
+    uint64_t digest = 0; ///< XXH3 of the complete text.
 
     friend bool operator==(const AnswerEnd &, const AnswerEnd &) = default;
 };
 
 uint64_t digestOf(const std::string &text);
-/// The same in 63 bits: JSON readers keep no more.
+/// The same digest in 63 bits, so that it fits a signed 64-bit integer of a JSON reader.
 uint64_t jsonDigestOf(const std::string &text);
 
-/// A refusal or a final "unknown", with the time after which it is worth asking again.
+/// A refusal or a final "unknown" outcome, with the time after which a retry may succeed.
 struct Refusal {
-    Outcome outcome = Outcome::Unknown; ///< "Not run" is only ever said on purpose.
+    Outcome outcome = Outcome::Unknown; ///< `NotRun` must be set explicitly, where it is certain.
     RefusalReason reason = RefusalReason::OwnerGone;
     DurationMs retryAfter;
 };
--- a/src/io/commandline.cpp
+++ b/src/io/commandline.cpp
@@ -15,7 +15,7 @@
 CommandLine::CommandLine(std::string program, std::string usage)
     : program_(std::move(program)), usage_(std::move(usage))
 {
-    texts_.reserve(MaxTexts); // popt keeps pointers into it.
+    texts_.reserve(MaxTexts); // popt keeps pointers to the elements, so the vector must not grow.
 }
 
 CommandLine::~CommandLine()
@@ -43,7 +43,7 @@
 
 bool CommandLine::parse(int argc, const char **argv)
 {
-    addFlag("version", 'V', version_, "print the version and end");
+    addFlag("version", 'V', version_, "print the version and exit");
     options_.push_back({nullptr, '\0', POPT_ARG_INCLUDE_TABLE, poptHelpOptions, 0, "Help:", nullptr});
     options_.push_back(POPT_TABLEEND);
     poptContext context = poptGetContext(program_.c_str(), argc, argv, options_.data(), 0);
--- a/src/io/commandline.h
+++ b/src/io/commandline.h
@@ -10,7 +10,7 @@
 constexpr const char *Version = "0.1.0";
 constexpr int ExitUsage = 2;
 
-/// A program's options by popt; adds --help and --version to all.
+/// Parses a program's command line with popt; adds --help and --version.
 class CommandLine
 {
 public:
@@ -21,12 +21,13 @@
     void addFlag(const char *name, char letter, int &out, const char *help);
     void addNumber(const char *name, char letter, int &out, const char *help);
 
-    /// False if the program is to end with exitCode(): wrong use (one line to standard error) or --version.
+    /// Returns false if the program must exit with exitCode(): after a usage error, which prints one line to
+    /// standard error, or after --version.
     bool parse(int argc, const char **argv);
     int exitCode() const { return exitCode_; }
     const std::vector<std::string> &arguments() const { return arguments_; }
 
-    /// Prints one line to standard error and returns the exit code for wrong use.
+    /// Prints one line to standard error and returns the exit code of a usage error.
     int fail(const std::string &message) const;
 
     CommandLine(const CommandLine &) = delete;
@@ -46,6 +47,7 @@
     int version_ = 0;
 };
 
+/// Returns the contents of the file, or nothing if it can't be opened.
 std::optional<std::string> readFile(const std::string &path);
 
 } // namespace cranberry
--- a/src/io/httpclient.cpp
+++ b/src/io/httpclient.cpp
@@ -19,9 +19,10 @@
 namespace {
 
 constexpr size_t MaxIdlePerAddress = 64;
-/// For servers that state no idle limit of their own: well below any that is usual.
+/// Idle limit for servers that don't send a Keep-Alive timeout; well below the usual server defaults.
 constexpr std::chrono::milliseconds DefaultIdleLimit{3000};
-/// Kept clear of the server's stated limit, so that its close and our next request don't cross.
+/// Subtracted from the server's Keep-Alive timeout, so that no request is sent while the server closes the
+/// connection.
 constexpr std::chrono::milliseconds IdleMargin{1000};
 constexpr size_t ReadBytes = 16U << 10;
 
@@ -38,7 +39,7 @@
     return std::chrono::milliseconds(duration.count);
 }
 
-// From "Keep-Alive: timeout=5", in whole seconds.
+// Parses "Keep-Alive: timeout=5" (integer seconds) and subtracts the margin.
 std::chrono::milliseconds idleLimitOf(const HttpHeaders &headers)
 {
     const std::string text = headerOf(headers, "Keep-Alive");
@@ -127,7 +128,7 @@
         stream_->expires_at(endsAt_ ? std::min(at, *endsAt_) : at);
     }
 
-    // Also ends a write that is still under way.
+    // Also cancels a pending write.
     void giveUp()
     {
         if (!stream_)
@@ -155,8 +156,8 @@
         http::async_write(*stream_, message_, [self = shared_from_this()](beast::error_code code, size_t) {
             self->written_ = !code;
         });
-        // Reads from the start: an endpoint may answer before it has taken the whole body, and a failed write
-        // shows as a failed read.
+        // Reads at once: an endpoint may respond before it has received the complete body, and a failed write
+        // also makes the read fail.
         readHead();
     }
 
@@ -217,7 +218,7 @@
 
     void whole()
     {
-        // Bytes behind the response belong to nothing that was asked: the connection is out of step.
+        // Bytes after the response belong to no request, so the connection can't be reused.
         if (parser_.get().keep_alive() && buffer_.size() == 0 && written_)
             keep_(std::move(stream_), idleLimit_);
         done(HttpFailure::None);
--- a/src/io/httpclient.h
+++ b/src/io/httpclient.h
@@ -10,13 +10,13 @@
 
 enum class HttpFailure : uint8_t {
     None,
-    Refused, ///< The far end is up, but nobody listens there: no byte left.
-    NotSent, ///< The connection was never had for another reason: no byte left.
-    Broken, ///< Anything after that.
-    Silent ///< Nothing came for the progress timeout.
+    Refused, ///< The peer's host refused the connection, since no process listens there; no byte was sent.
+    NotSent, ///< No connection was established for another reason; no byte was sent.
+    Broken, ///< The connection failed or the response was malformed after sending had begun.
+    Silent ///< No byte was received for the progress timeout, or the total timeout expired.
 };
 
-/// Whether the far end may have read some of the request.
+/// Returns whether the server may have read part of the request.
 constexpr bool mayHaveArrived(HttpFailure failure)
 {
     return failure != HttpFailure::Refused && failure != HttpFailure::NotSent;
@@ -26,13 +26,13 @@
     Address address;
     HttpRequest request;
     DurationMs connectTimeout{1000};
-    DurationMs progressTimeout{5000}; ///< Longest time between two bytes.
-    /// Never on a kept connection. Those may have been closed at the far end already, and then the failure
-    /// can't be told from one after the request was read.
+    DurationMs progressTimeout{5000}; ///< Maximum time between two received bytes.
+    /// Never reuses an idle connection. The server may have closed it already, and that failure can't be
+    /// distinguished from one after the request was read.
     bool freshConnection = false;
-    DurationMs totalTimeout{0}; ///< For all of the call; 0: none.
-    /// Resets the connection when the call is given up: a plain close would leave bytes on their way that may
-    /// still arrive seconds later.
+    DurationMs totalTimeout{0}; ///< Limit for the complete call; 0 means none.
+    /// Resets the connection (RST) when the call fails or is cancelled: after a normal close, bytes that are
+    /// still in transit could arrive seconds later.
     bool resetWhenGivenUp = false;
 };
 
@@ -42,7 +42,7 @@
     std::function<void(HttpFailure failure)> onDone; ///< Called once, unless cancelled.
 };
 
-/// A whole response, for calls that don't stream.
+/// A complete response, for calls that don't stream.
 struct HttpResponse {
     HttpFailure failure = HttpFailure::None;
     int status = 0;
@@ -50,7 +50,8 @@
     std::string body;
 };
 
-/// HTTP/1.1 client by Boost.Beast with kept connections. All calls on the io_context's thread.
+/// HTTP/1.1 client on Boost.Beast with a pool of idle connections. All member functions must be called on the
+/// io_context's thread.
 class HttpClient
 {
 public:
@@ -58,7 +59,7 @@
     ~HttpClient();
 
     uint64_t start(HttpCall call, HttpCallbacks callbacks);
-    void cancel(uint64_t call); ///< No callback follows.
+    void cancel(uint64_t call); ///< No callback is called afterwards.
     void fetch(HttpCall call, std::function<void(const HttpResponse &)> onDone);
 
     HttpClient(const HttpClient &) = delete;
--- a/src/io/httpserver.cpp
+++ b/src/io/httpserver.cpp
@@ -18,12 +18,12 @@
 namespace {
 
 constexpr std::chrono::seconds WriteTimeout{20};
-/// After the last response the far end gets this long to close; closing over unread bytes would reset the
-/// connection and destroy a response that is still on its way.
+/// Time for the client to close the connection after the last response. Closing a socket with unread bytes
+/// would reset the connection and discard a response that is still in transit.
 constexpr std::chrono::seconds LingerTimeout{1};
 constexpr size_t ReadBytes = 4U << 10;
 constexpr int ListenBacklog
-    = 1024; ///< A full queue drops connection attempts, which come again after a second.
+    = 1024; ///< A full queue drops SYNs, which clients retransmit only after a second.
 
 template <typename Buffers>
 void append(std::string &out, const Buffers &buffers)
@@ -34,7 +34,7 @@
     }
 }
 
-// Serialises a whole message, or only its header for a chunked one, with Beast's serializer.
+// Serialises a complete message, or only the header of a chunked one, with Beast's serializer.
 template <typename Body>
 std::string serialised(http::response<Body> &message, bool headerOnly)
 {
@@ -79,7 +79,7 @@
     bool closeAfterResponses = false;
 };
 
-/// One connection; serves its requests one after the other.
+/// One connection; serves its requests sequentially.
 class HttpConnection : public HttpExchange, public std::enable_shared_from_this<HttpConnection>
 {
 public:
@@ -156,7 +156,8 @@
     size_t pendingBytes() const override { return out_.size() + writing_.size(); }
 
 private:
-    // The header and the body each have the read timeout, so that a long body is not cut by a slow header.
+    // The read timeout applies to the header and the body separately, so that a slow header does not leave
+    // too little time for a long body.
     void readRequest()
     {
         startReadTimer();
@@ -175,7 +176,7 @@
                          [self = shared_from_this()](beast::error_code code, size_t) { self->onRead(code); });
     }
 
-    // The stream's own expiry would close the socket, and the caller could not be told why.
+    // Uses a separate timer: the stream's own expiry would close the socket, and no 408 could be sent.
     void startReadTimer()
     {
         stream_.expires_never();
@@ -241,7 +242,7 @@
                 "{\"outcome\":\"notRun\",\"reason\":\"badRequest\",\"message\":\"" + why + "\"}");
     }
 
-    // The caller's going away is seen as a readable socket without data.
+    // A readable socket without data means that the caller closed the connection.
     void watchClose()
     {
         stream_.socket().async_wait(tcp::socket::wait_read,
@@ -318,7 +319,7 @@
     asio::steady_timer readTimer_;
     bool readTimedOut_ = false;
     std::shared_ptr<HttpServer::Listener> listener_;
-    HttpServerCounters &counters_; ///< Of the listener.
+    HttpServerCounters &counters_; ///< Owned by the listener.
     beast::flat_buffer buffer_;
     std::optional<http::request_parser<http::string_body>> parser_;
     HttpRequest request_;
--- a/src/io/httpserver.h
+++ b/src/io/httpserver.h
@@ -8,7 +8,7 @@
 
 namespace cranberry {
 
-/// One request and its response. All calls on the io_context's thread.
+/// One request and its response. All member functions must be called on the io_context's thread.
 class HttpExchange
 {
 public:
@@ -16,13 +16,14 @@
 
     virtual const HttpRequest &request() const = 0;
     virtual void respond(int status, const HttpHeaders &headers, const std::string &body) = 0;
-    /// Starts a chunked response; then any number of write, then finish.
+    /// Starts a chunked response; any number of write() calls and one finish() follow.
     virtual void beginStream(int status, const HttpHeaders &headers) = 0;
     virtual void write(const std::string &data) = 0;
     virtual void finish() = 0;
-    virtual void abort() = 0; ///< Closes the connection without an end mark.
-    /// Called once if the other end goes away before the response is whole.
+    virtual void abort() = 0; ///< Closes the connection without the last chunk.
+    /// `callback` is called once if the connection closes before the response is complete.
     virtual void onClosed(std::function<void()> callback) = 0;
+    /// Bytes of the response that are not yet written to the socket.
     virtual size_t pendingBytes() const = 0;
 };
 
@@ -32,34 +33,36 @@
 struct HttpServerLimits {
     uint32_t maxHeaderBytes = 16U << 10;
     uint32_t maxBodyBytes = 4U << 20;
-    DurationMs readTimeout{10000}; ///< From the first byte of a request to its last.
-    DurationMs idleTimeout{10000}; ///< Between requests.
-    bool answersTimeouts = false; ///< A request that takes too long gets 408; else its connection is closed.
+    DurationMs readTimeout{10000}; ///< For the header and for the body of a request, each.
+    DurationMs idleTimeout{10000}; ///< Maximum time between two requests of a connection.
+    bool answersTimeouts = false; ///< Responds with 408 after the read timeout, instead of only closing.
 };
 
-/// Requests that never reached the handler, by cause.
+/// Counts connections, and by cause the requests that did not reach the handler.
 struct HttpServerCounters {
     uint64_t connections = 0;
     uint64_t badRequests = 0;
     uint64_t tooLarge = 0;
     uint64_t timeouts = 0;
-    size_t open = 0; ///< Connections now.
+    size_t open = 0; ///< Connections that are open now.
 };
 
-/// HTTP/1.1 server by Boost.Beast, hidden behind plain types since Beast is slow to compile.
+/// HTTP/1.1 server on Boost.Beast. The interface does not expose Beast's types, since Beast is slow to
+/// compile.
 class HttpServer
 {
 public:
-    /// Listens at once; throws boost::system::system_error if the address can't be had.
+    /// Starts to listen; throws boost::system::system_error if it can't bind to `address`.
     HttpServer(boost::asio::io_context &io, const Address &address, const HttpServerLimits &limits,
                HttpHandler handler);
     ~HttpServer();
 
     const HttpServerCounters &counters() const;
     void stopAccepting();
-    /// In force from the next request of each connection on.
+    /// Takes effect with the next request of each connection.
     void setLimits(const HttpServerLimits &limits);
-    /// From now on every response says "Connection: close", so that callers leave without losing a request.
+    /// Adds "Connection: close" to every further response, so that callers reconnect elsewhere without losing
+    /// a request.
     void closeAfterResponses();
     size_t openConnections() const;
 
--- a/src/io/latency.h
+++ b/src/io/latency.h
@@ -6,7 +6,7 @@
 
 namespace cranberry {
 
-/// Milliseconds as callers see them, by Boost.Histogram.
+/// Histograms of the latencies that callers see, in milliseconds.
 class LatencyHistograms
 {
 public:
@@ -17,7 +17,7 @@
     void betweenTokens(DurationMs took);
     void whole(DurationMs took);
 
-    /// Cumulative buckets in the Prometheus text form.
+    /// Returns cumulative buckets in the Prometheus text format.
     std::string prometheusText() const;
 
     LatencyHistograms(const LatencyHistograms &) = delete;
--- a/src/io/settingsfile.h
+++ b/src/io/settingsfile.h
@@ -7,8 +7,8 @@
 
 namespace cranberry {
 
-/// Reads and checks a settings file with `parse`. On an error nothing is returned, `line` has printed one
-/// line that names the file and the field, and `exitCode` is set.
+/// Reads a settings file and parses it with `parse`. On an error, prints one line with the file and the field
+/// to standard error, sets `exitCode` and returns nothing.
 template <typename Settings>
 std::optional<Settings> readSettings(const CommandLine &line, const std::string &file,
                                      Result<Settings> (*parse)(const std::string &text), int &exitCode)
--- a/src/io/socketoptions.cpp
+++ b/src/io/socketoptions.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr int KeepAliveIdleSeconds = 2; ///< Longest pause of a healthy stream is below this.
+constexpr int KeepAliveIdleSeconds = 2; ///< Longer than any pause of a healthy stream.
 constexpr int KeepAliveIntervalSeconds = 1;
 constexpr int KeepAliveProbes = 2;
-constexpr int UserTimeoutMs = 4000; ///< As long as the three figures above take together.
+constexpr int UserTimeoutMs = 4000; ///< Equals idle time + interval * probes.
 
 void set(int socket, int level, int name, int value)
 {
-    // A socket that refuses an option works without it: only the detection of silence gets slower.
+    // Errors are ignored: without an option the socket works, but a dead connection is detected later.
     static_cast<void>(::setsockopt(socket, level, name, &value, sizeof value));
 }
 
--- a/src/io/socketoptions.h
+++ b/src/io/socketoptions.h
@@ -2,12 +2,12 @@
 
 namespace cranberry {
 
-/// TCP_NODELAY, and probes that end a connection which went silent: something between the two ends can lose
-/// track of it, and then neither end hears of that by itself.
+/// Sets TCP_NODELAY, keep-alive probes and TCP_USER_TIMEOUT. The probes close a dead connection: a device on
+/// the path, such as a NAT or firewall, can drop its state without notifying either end.
 void setSocketOptions(int socket);
 
-/// True if an idle connection can be used: nothing has arrived on it, neither its end nor bytes that no one
-/// asked for.
+/// Returns whether an idle connection can be reused: the peer has neither closed it nor sent unexpected
+/// bytes.
 bool isQuiet(int socket);
 
 } // namespace cranberry
--- a/tests/decoders_random_test.cpp
+++ b/tests/decoders_random_test.cpp
@@ -1,4 +1,4 @@
-// What comes from outside is decoded, or refused with a reason, whatever it is.
+// Fuzzes the decoders of external input: each text must be decoded or rejected with a reason.
 
 #include "common/random.h"
 #include "gateway/peers/peerdatagrams.h"
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// Texts for each seed; both together take about three seconds.
+/// Texts per seed; both seeds together take about three seconds.
 constexpr int Rounds = 700'000;
-/// Seeds that once made a decoder fail go here, and stay.
+/// Add any seed that makes a decoder fail and keep it as a regression test.
 constexpr uint64_t Seeds[] = {1, 20261202};
 
 constexpr const char *Entry = R"({"Service":"s","Address":"10.0.0.9:80","Zone":"z","Version":"v1","Slots":64,
@@ -29,7 +29,7 @@
 constexpr const char *Report = R"({"State":"draining","born":17,"leaves_ms":900,"Runs":[["a",1,2,3]]})";
 constexpr const char *Move = R"({"Handle":"h","Created":5})";
 
-// Replaces, cuts, doubles or swaps pieces of a text that is right.
+// Mutates a valid text: truncates it, replaces or duplicates a piece, or overwrites a byte.
 std::string spoiled(std::string text, Random &random)
 {
     static constexpr std::string_view Pieces[] = {"null",
@@ -105,7 +105,7 @@
 
 } // namespace
 
-TEST_CASE("texts of others, spoiled at random, are decoded or refused with a reason")
+TEST_CASE("randomly mutated external texts are decoded or rejected with a reason")
 {
     RecordingLog log;
     platform::StoreCodec codec(log);
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -15,10 +15,10 @@
 
 } // namespace
 
-// The callers open a connection, send a request, and wait a moment for its answer; none of them goes away.
-// Late news of bytes that were already read must not pass for "the caller has gone": the connection would be
-// closed without an answer.
-TEST_CASE("a waiting caller is not taken for one that went away")
+// Each caller opens a connection, sends a request and waits for the response. Guards against a late readiness
+// event for bytes that were already read being mistaken for the caller's close: the server would close the
+// connection without a response.
+TEST_CASE("a waiting caller is not mistaken for one that closed its connection")
 {
     boost::asio::io_context io;
     int closed = 0;
@@ -56,7 +56,8 @@
 
 namespace {
 
-/// What the endpoint link reports of a request whose connection the endpoint cuts, with or without its end.
+/// Returns the failure phase that the endpoint link reports when the endpoint aborts the connection, either
+/// because its process exits or while it continues to run.
 FailurePhase phaseOfCut(bool endpointEnds)
 {
     boost::asio::io_context io;
@@ -91,10 +92,11 @@
 
 } // namespace
 
-TEST_CASE("an endpoint that ends is told from one that cuts a connection")
+TEST_CASE("an endpoint crash is distinguished from an aborted connection")
 {
-    // Both look the same to the request that was there; only a new connection tells. Taken for an end, each
-    // cut would count against the request; not seen as one, a request could end endpoint after endpoint.
+    // Both look the same on the request's connection; only a new connection shows the difference. If an abort
+    // were taken for a crash, it would count towards the request's quarantine; if a crash were missed, one
+    // request could crash endpoint after endpoint.
     CHECK(phaseOfCut(true) == FailurePhase::Ended);
     CHECK(phaseOfCut(false) == FailurePhase::AfterSend);
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -21,7 +21,7 @@
     return request;
 }
 
-// The field that is named wrong, or nothing.
+// Returns the path of the invalid field, or an empty string if the request is valid.
 std::string wrongField(const HttpRequest &request)
 {
     return boost::leaf::try_handle_all(
@@ -32,7 +32,7 @@
         [](const FieldError &error) { return error.path; }, [] { return std::string("?"); });
 }
 
-// What `parse` returns, or nothing and the error's text in `wrong`.
+// Returns the result of `parse`, or nothing with the error's text in `wrong`.
 template <typename Value, typename Parse>
 std::optional<Value> valueOf(Parse parse, std::string *wrong = nullptr)
 {
@@ -77,7 +77,7 @@
 
 } // namespace
 
-TEST_CASE("a caller's request is decoded, and what the gateway owns is not taken from it")
+TEST_CASE("a caller's request is decoded without the headers that only the gateway sets")
 {
     const std::optional<CallerRequestPtr> request
         = decoded(makeHttp({{"Authorization", "Bearer secret"},
@@ -108,7 +108,7 @@
     CHECK(headerOf(out.forwarded, "X-Token-Count") == "1460,80");
 }
 
-TEST_CASE("a malformed request is refused with the header that is wrong")
+TEST_CASE("a malformed request is rejected with the name of the invalid header")
 {
     CHECK(wrongField(makeHttp()).empty());
     CHECK(wrongField(makeHttp({{"host", "other.example"}})) == "host");
@@ -123,7 +123,7 @@
     CHECK(wrongField(noId) == "X-Request-Id");
 }
 
-TEST_CASE("an attempt carries what the gateway sets")
+TEST_CASE("an attempt carries the headers that the gateway sets")
 {
     SendAttempt order;
     order.request = *decoded(makeHttp({{"X-Deadline-Ms", "9000"}}));
@@ -143,7 +143,7 @@
     CHECK(out.body == "body");
 }
 
-TEST_CASE("a server's head says what became of the request")
+TEST_CASE("the head of an engine's response tells whether the request ran there")
 {
     const CallerRequestPtr request = *decoded(makeHttp());
     AttemptHead head = platform::decodeHead({1}, *request, 503, {{"X-Not-Executed", "1"}});
@@ -161,7 +161,7 @@
     CHECK_FALSE(head.ownAnswer);
 }
 
-TEST_CASE("a head that names a limit that can't be read says so, and names none")
+TEST_CASE("an invalid Server-Limit header gives an error and no limit")
 {
     const CallerRequestPtr request = *decoded(makeHttp());
     const auto decode = [&request](const std::vector<std::string> &values) {
@@ -187,7 +187,7 @@
     CHECK(decode({"x", "1"}).limitError);
 }
 
-TEST_CASE("the configuration is read; fields that come later are ignored")
+TEST_CASE("the configuration is decoded; unknown fields are ignored")
 {
     const std::optional<ServingConfigurationPtr> read = configurationFrom(ConfigurationText);
     REQUIRE(read);
@@ -209,7 +209,7 @@
     CHECK(configuration.limits.idleTimeout.count == 15000);
 }
 
-TEST_CASE("a configuration that can't be read names the field and changes nothing")
+TEST_CASE("an invalid configuration is rejected with the field's name")
 {
     std::string wrong;
     std::string text = ConfigurationText;
@@ -218,8 +218,8 @@
     CHECK(wrong == "Routes[0].Kind: is not a known kind");
     CHECK_FALSE(configurationFrom("{\"Routes\":[", &wrong));
 
-    // Through the store's codec: the unreadable one does not count as a configuration, and does not confirm
-    // the one before either.
+    // In the store codec, an unreadable configuration is not reported as a configuration, so it does not
+    // confirm the previous one either.
     RecordingLog log;
     platform::StoreCodec codec(log);
     StoreCall call;
@@ -234,7 +234,7 @@
     CHECK(log.count("configuration_unreadable") == 1);
 }
 
-TEST_CASE("the store's calls and replies")
+TEST_CASE("store calls are encoded and replies decoded")
 {
     RecordingLog log;
     platform::StoreCodec codec(log);
@@ -277,7 +277,7 @@
     CHECK(codec.decode(call, 200, {}, "not json").outcome == StoreOutcome::NoReply);
 }
 
-TEST_CASE("an order of a roll-out is read, or the field that is wrong is named and the order before goes on")
+TEST_CASE("an invalid roll-out order is rejected with the field's name, and the previous order stays")
 {
     const auto wrongIn = [](const std::string &text) {
         std::string wrong;
@@ -305,14 +305,14 @@
             + std::to_string(revision) + R"(}],"Truncated":false})";
         return codec.decode(call, 200, {}, body).items.at(0).rollout.value_or(RolloutOrder{}).target.value;
     };
-    // {"Service":"s","Target":"v2","DurationS":12}, then one of 0 s.
+    // {"Service":"s","Target":"v2","DurationS":12}, then an order for v3 with the invalid duration 0.
     CHECK(targetIn("eyJTZXJ2aWNlIjoicyIsIlRhcmdldCI6InYyIiwiRHVyYXRpb25TIjoxMn0=", 5) == "v2");
     CHECK(targetIn("eyJTZXJ2aWNlIjoicyIsIlRhcmdldCI6InYzIiwiRHVyYXRpb25TIjowfQ==", 6) == "v2");
     CHECK(targetIn("eyJTZXJ2aWNlIjoicyIsIlRhcmdldCI6InYzIiwiRHVyYXRpb25TIjowfQ==", 6) == "v2");
     CHECK(log.count("rollout_unreadable") == 1);
 }
 
-TEST_CASE("the status of a roll-out is written beside its record")
+TEST_CASE("a store write includes the roll-out status")
 {
     StoreCall call;
     call.verb = StoreVerb::Write;
@@ -327,7 +327,7 @@
           != std::string::npos);
 }
 
-TEST_CASE("the store's era is read from each reply; one that is no number is told once and changes nothing")
+TEST_CASE("the store's era is decoded from each reply; an invalid one is ignored and logged once")
 {
     RecordingLog log;
     platform::StoreCodec codec(log);
@@ -346,9 +346,9 @@
     CHECK(log.count("store_era_unreadable") == 4);
 }
 
-TEST_CASE("a configuration that is written again at a revision of an earlier era is read")
+TEST_CASE("a configuration with a revision that an earlier era used for another one is decoded")
 {
-    // The store came back older and gives out revision 9 again, for another configuration.
+    // The store was restored from an older state and reuses revision 9 for another configuration.
     RecordingLog log;
     platform::StoreCodec codec(log);
     StoreCall call;
@@ -373,7 +373,7 @@
     return valueOf<EndpointEntry>([&] { return platform::decodeEndpoint("i-7", text); }, wrong);
 }
 
-// The entry with one field replaced by `value`, or without it.
+// Returns the entry with `field` replaced by `value`, or without the field if there is no value.
 std::string entryWith(const std::string &field, const std::optional<std::string> &value)
 {
     boost::json::object entry = boost::json::parse(EntryText).as_object();
@@ -385,10 +385,10 @@
 
 } // namespace
 
-TEST_CASE("an endpoint's entry names an endpoint only if all of it is as endpoints write it")
+TEST_CASE("an endpoint's entry is rejected if any mandatory field is missing or invalid")
 {
-    // Another writer leaves something under an endpoint's key: a field is missing, or of another type, or
-    // says what no endpoint says. Used all the same, callers' requests would go to whoever listens there.
+    // Guards against entries of other writers under an endpoint's key, with a field that is missing, of the
+    // wrong type or out of range. If used, they would send callers' requests to an unrelated process.
     std::string wrong;
     const std::optional<EndpointEntry> entry = entryFrom(EntryText, &wrong);
     REQUIRE_MESSAGE(entry, wrong);
@@ -415,7 +415,7 @@
                                     std::string("\xff\xfe\x00", 3), std::string(1U << 20U, ' '),
                                     std::string(1U << 20U, '['), std::string(EntryText) + "x"})
         CHECK_FALSE(entryFrom(text));
-    // Of a field that stands twice, the last one counts, as in the JSON library; it has to be right.
+    // The JSON library uses the last of duplicate fields; that one has to be valid.
     std::string twice = EntryText;
     twice.insert(1, "\"State\":\"ready\",");
     CHECK(entryFrom(twice));
@@ -423,7 +423,7 @@
     CHECK_FALSE(entryFrom(twice));
 }
 
-TEST_CASE("an unreadable entry is told once for each change of it")
+TEST_CASE("an unreadable entry is logged once per revision")
 {
     RecordingLog log;
     platform::StoreCodec codec(log);
@@ -442,7 +442,7 @@
     CHECK(log.count("endpoint_unreadable") == 2);
 }
 
-TEST_CASE("a report says which start of the engine answered")
+TEST_CASE("a report identifies the engine's process by its start time")
 {
     const EngineProbed probed
         = platform::decodeProbe({"i-7"}, 200, R"({"State":"draining","born":17,"leaves_ms":900})");
@@ -453,7 +453,7 @@
     CHECK(platform::decodeProbe({"i-7"}, 200, R"({"born":1.5})").start.unixMs == 0);
 }
 
-TEST_CASE("duties and moves on the wire")
+TEST_CASE("leader tasks and migrations are encoded, and their replies decoded")
 {
     DutyCall call;
     call.fencingToken = 12;
@@ -477,7 +477,7 @@
     CHECK(platform::decodeMove({1}, 503, R"({"Handle":"h"})").outcome == MoveOutcome::NoRoom);
 }
 
-TEST_CASE("settings: a field that is missing, wrong or unknown is named")
+TEST_CASE("settings: the error names a missing, invalid or unknown field")
 {
     const std::string good = R"({"instance":"f","failureDomain":"z","callerAddress":"10.0.0.1:1",
         "readinessAddress":"10.0.0.1:2","entryAddress":"10.0.0.1:3","peerAddress":"10.0.0.1:4",
