--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -241,7 +241,7 @@
     void leaveSilentEndpoints(TimeMs now);
     bool canGoOnElsewhere(Exchange &exchange, TimeMs now);
 
-    // Endpoints that exit while they process requests (endpointcrashes.cpp).
+    // Endpoints that exit while they process requests (endpointends.cpp).
 
     /// Returns true if the request has to wait for the result of a probe of the endpoint.
     bool noteBroken(const Exchange &exchange, TimeMs now);
--- a/src/gateway/io/clocksource.h
+++ b/src/gateway/io/clocksource.h
@@ -4,10 +4,11 @@
 
 namespace cranberry {
 
-/// The steady clock that also counts time in suspension: leases and ages go on while an instance sleeps.
+/// Returns the monotonic time including suspend (CLOCK_BOOTTIME), so that leases and ages advance while an
+/// instance is suspended.
 TimeMs steadyNow();
 
-/// Time of day, in milliseconds since 1970. May jump.
+/// Returns the wall-clock time in milliseconds since 1970. It may jump.
 int64_t wallNowMs();
 
 } // namespace cranberry
--- a/src/gateway/io/gatewaycallers.cpp
+++ b/src/gateway/io/gatewaycallers.cpp
@@ -1,4 +1,5 @@
-// Callers and endpoints: exchanges into events of the core, its actions into answers and attempts.
+// Connections to callers and endpoints: turns HTTP exchanges into events of the core, and actions of the core
+// into responses and attempts.
 
 #include "gateway/io/gatewaystate.h"
 
@@ -8,12 +9,13 @@
 
 namespace {
 
-/// Silence of an endpoint never ends an attempt: its time-out does, in the core. This is only a backstop.
+/// An attempt ends by its time-out in the core, not because the endpoint sends nothing. This limit is only a
+/// backstop.
 constexpr DurationMs AttemptBackstop{3'600'000};
-/// A caller that takes none of this many bytes is gone.
+/// A caller with more unsent bytes than this is considered gone.
 constexpr size_t MostUnsentBytes = 4U << 20;
 
-/// Of a response that came whole; 0: it did not.
+/// Returns the status of a complete response; 0 if it is incomplete.
 int wholeStatus(const HttpResponse &response)
 {
     return response.failure == HttpFailure::None ? response.status : 0;
@@ -82,7 +84,7 @@
         std::visit([this](auto &each) { run(each); }, action);
 }
 
-// Takes a caller's exchange off the table for its last word; nullptr if the caller is gone.
+// Removes a caller's exchange for its final response; returns nullptr if the caller is gone.
 HttpExchangePtr GatewayServer::State::takeCaller(CallerId caller)
 {
     const auto found = callers.find(caller);
@@ -170,7 +172,7 @@
     calls.erase(found);
 }
 
-// A short call to an endpoint beside its requests.
+// Sends a short call to an endpoint that is no attempt of a request.
 void GatewayServer::State::callEndpoint(HttpCall call, DurationMs timeout,
                                         std::function<void(const HttpResponse &)> onReply)
 {
--- a/src/gateway/io/gatewaypeers.cpp
+++ b/src/gateway/io/gatewaypeers.cpp
@@ -1,4 +1,4 @@
-// The store, the receiver of duties and the other daemons.
+// Connections to the store, to the receiver of leader calls, and to the other daemons.
 
 #include "gateway/io/gatewaystate.h"
 
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr DurationMs CoresPace{500};
-constexpr double CoresWeight = 0.2; ///< Of the newest measurement: the mean of about the last 2.5 s.
+constexpr double CoresWeight = 0.2; ///< Weight of the newest sample: a mean over about 2.5 s.
 
-/// Processor time of this process in milliseconds; 0 where the system doesn't tell.
+/// Returns the CPU time of this process in milliseconds; 0 if the system does not provide it.
 double processorMs()
 {
     rusage usage = {};
@@ -56,7 +56,7 @@
     }
 }
 
-// ---- Duties ----
+// ---- Leader tasks ----
 
 void GatewayServer::State::callDuty(const DutyCall &order, std::function<void(DutyOutcome)> onReply)
 {
@@ -99,7 +99,7 @@
 
 void GatewayServer::State::runRollouts(const Leadership &leadership, TimeMs now)
 {
-    // Only the holder needs them, and they take a look at all endpoints.
+    // Only the leader needs the observations, and collecting them scans all endpoints.
     const std::map<ServiceName, RolloutFacts> facts
         = leadership.held ? gateway.rolloutFacts(now) : std::map<ServiceName, RolloutFacts>();
     rolloutDuty.tick(leadership, sync.rollouts(now), facts, now.count + gateway.usage().offset(), now);
@@ -121,7 +121,8 @@
     if (configuration && configuration->version != limitsVersion) {
         limitsVersion = configuration->version;
         const CallerLimits &limits = configuration->limits;
-        // Idle connections outlast the callers' own limit, so that neither closes while the other sends.
+        // The idle limit is a quarter above the callers' own limit, so that the server does not close a
+        // connection while the caller sends on it.
         callerServer->setLimits({limits.maxHeaderBytes, limits.maxBodyBytes, limits.headerTimeout,
                                  limits.idleTimeout + limits.idleTimeout / 4, true});
     }
@@ -200,7 +201,7 @@
                  std::visit([](const auto &each) { return encodeDatagram(each); }, action.message));
 }
 
-// Datagrams may be lost, also here when the socket is full: each is made up for by a later one.
+// Datagrams may be lost, also here if the socket buffer is full; a later datagram makes up for each.
 void GatewayServer::State::sendDatagram(const Address &to, const std::string &text)
 {
     boost::system::error_code ignored;
--- a/src/gateway/io/gatewayserver.cpp
+++ b/src/gateway/io/gatewayserver.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Resolution of time-outs and of the queue; finer costs wake-ups.
+/// Resolution of time-outs and of the queue; a finer one costs wake-ups.
 constexpr DurationMs TickPace{25};
-/// The settings file may change without a signal; reading it costs some microseconds.
+/// The settings file is also checked for changes without a signal; reading it takes some microseconds.
 constexpr DurationMs SettingsPace{2000};
 constexpr DurationMs LogPace{200};
-/// A stopping daemon leaves this long before it would be killed.
+/// A stopping daemon exits this long before the end of its grace period, when it would be killed.
 constexpr DurationMs StopMargin{700};
-/// An idle daemon stays this long after its stop, for callers that still hold its address.
+/// An idle daemon keeps running this long after a stop signal, for callers that still hold its address.
 constexpr DurationMs LeastStopTime{5500};
 
 uint64_t randomSeed()
@@ -24,7 +24,7 @@
     uint64_t seed = 0;
     if (::getrandom(&seed, sizeof seed, 0) != sizeof seed)
         seed = std::random_device()();
-    return seed >> 1U; // JSON readers keep 63 bits.
+    return seed >> 1U; // JSON decoders keep 63 bits.
 }
 
 Address withPort(const Address &address, uint32_t port)
@@ -73,7 +73,7 @@
     rolloutDuty.setBounds({settings.exposeShare, settings.exposeSlack});
 }
 
-// ---- Life ----
+// ---- Start, tick and stop ----
 
 void GatewayServer::State::tick()
 {
@@ -87,8 +87,8 @@
     runDuties();
     if (measureCores(now))
         entryAddresses(now);
-    // Also before any other daemon is known: requests are counted in windows of the time of day from the
-    // first on.
+    // Also before any other daemon is known: from the first request on, requests are counted in windows of
+    // wall-clock time.
     gateway.usage().setOffset(gateway.peers().medianWallOffset(wallNowMs() - now.count, now));
     sendReports(fleet.dueReports(now), now);
     if (now >= flushAt) {
@@ -126,8 +126,8 @@
     });
 }
 
-// Bounds and tolerances are taken over at once. Addresses and the identity are those of this process; a
-// change of them takes a start. A file that can't be read changes nothing.
+// Applies changed bounds and tolerances at once. Addresses and the identity belong to this process and change
+// only on a restart. An unreadable file changes nothing.
 void GatewayServer::State::reloadIfChanged(bool asked)
 {
     const std::optional<std::string> text = readFile(settingsFile);
@@ -150,7 +150,7 @@
         });
 }
 
-// Callers are told to go elsewhere; what they have sent, and what they still send here, is served.
+// Directs callers to other daemons; requests already received, and those that still arrive, are served.
 void GatewayServer::State::startStop()
 {
     if (stopping)
--- a/src/gateway/io/gatewayserver.h
+++ b/src/gateway/io/gatewayserver.h
@@ -7,15 +7,15 @@
 
 namespace cranberry {
 
-/// The gateway daemon: sockets, timers and signals around the core. Decides nothing.
+/// The gateway daemon: sockets, timers and signals around the core, which makes all decisions.
 class GatewayServer
 {
 public:
-    /// `file` is read again on SIGHUP, and when it has changed.
+    /// `file` is the settings file; it is read again on SIGHUP and when it has changed.
     GatewayServer(GatewayDaemonSettings settings, std::string file);
     ~GatewayServer();
 
-    /// Serves until it is told to stop; returns the process's exit code.
+    /// Serves until a stop signal; returns the process's exit code.
     int run();
 
     GatewayServer(const GatewayServer &) = delete;
--- a/src/gateway/io/gatewaystate.h
+++ b/src/gateway/io/gatewaystate.h
@@ -23,14 +23,14 @@
 
 namespace cranberry {
 
-/// Endpoints and the store accept within a few milliseconds; one that doesn't is down or out of reach, and
-/// nothing was sent yet. Longer than a lost packet of a slow network would need at the first repetition is of
-/// no use.
+/// Endpoints and the store accept a connection within a few milliseconds; one that does not is down or
+/// unreachable, and no request was sent yet. A time-out long enough for a retransmission after packet loss on
+/// a slow network gains nothing.
 constexpr DurationMs ConnectTimeout{350};
 constexpr size_t MostDatagram = 60000;
 
-/// All of a gateway daemon: the core, its adapters and what connects them. Private to the gateway's server
-/// files.
+/// State of a gateway daemon: the core, its adapters and their connections. Private to the source files of
+/// the gateway server.
 struct GatewayServer::State {
     State(GatewayDaemonSettings given, std::string file);
 
@@ -60,7 +60,7 @@
     void callStore(const StoreCall &order, std::function<void(const StoreReply &)> onReply);
     void takeNews();
 
-    // Duties of which one daemon at a time is the holder.
+    // Tasks of the leader.
     void runDuties();
     void runRollouts(const Leadership &leadership, TimeMs now);
     void callDuty(const DutyCall &order, std::function<void(DutyOutcome)> onReply);
@@ -71,10 +71,10 @@
     void onDatagram(std::string_view text);
     void sendDatagram(const Address &to, const std::string &text);
     void sendOutgoing();
-    Address peerAddress() const; ///< Of the datagram that is being handled.
+    Address peerAddress() const; ///< Sender of the datagram being handled.
     void sendReports(const ReportSchedule::Due &due, TimeMs now);
     std::vector<Address> entryAddresses(TimeMs now);
-    bool measureCores(TimeMs now); ///< True when it was time to.
+    bool measureCores(TimeMs now); ///< Returns true if a measurement was due.
 
     void tick();
     void waitForSignal();
@@ -84,7 +84,7 @@
 
     GatewayDaemonSettings settings;
     std::string settingsFile;
-    std::string settingsText; ///< As read last.
+    std::string settingsText; ///< Content of the file at the last read.
     boost::asio::io_context io{1};
     Incarnation incarnation;
     LogSink log;
@@ -114,8 +114,8 @@
     boost::asio::steady_timer timer{io};
     boost::asio::signal_set signals{io};
     TimeMs coresMeasuredAt;
-    double processorTimeMs = 0; ///< At that time.
-    double coresUsed = 0; ///< Moving mean.
+    double processorTimeMs = 0; ///< CPU time at `coresMeasuredAt`.
+    double coresUsed = 0; ///< Moving mean of CPU cores in use.
     TimeMs flushAt;
     TimeMs settingsCheckAt;
     uint64_t peerBytesSent = 0;
--- a/src/gateway/io/logsink.cpp
+++ b/src/gateway/io/logsink.cpp
@@ -8,11 +8,13 @@
 
 namespace {
 
-/// Ordinary lines a second, beyond which they are thinned out: about 15 requests traced in full.
+/// Max ordinary lines per second; further ones are dropped. This is enough to trace about 15 requests in
+/// full.
 constexpr uint32_t OrdinaryPerSecond = 60;
-/// Failures and refusals a second: a refusal storm must not take the processor from the requests.
+/// Max failure and refusal lines per second, so that logging during a storm of refusals does not take CPU
+/// time from requests.
 constexpr uint32_t FailuresPerSecond = 200;
-/// Gathered bytes beyond which lines are dropped: the reader is gone or far behind.
+/// Buffered bytes beyond which lines are dropped: the reader is gone or far behind.
 constexpr size_t MostPending = 256U << 10;
 constexpr int64_t MsPerSecond = 1000;
 
@@ -61,8 +63,8 @@
     append(event, std::move(fields), nowMs);
 }
 
-// Written only while the other end has room. A pipe that polls as writable takes at least PIPE_BUF bytes
-// without blocking, so it is fed in pieces of that size.
+// Writes only while the pipe accepts data. A pipe that polls as writable takes at least PIPE_BUF bytes
+// without blocking, so it is written in chunks of that size.
 void LogSink::flush()
 {
     constexpr size_t Piece = 4096;
--- a/src/gateway/io/logsink.h
+++ b/src/gateway/io/logsink.h
@@ -11,8 +11,8 @@
 
 /// Writes decisions as JSON lines to standard output.
 ///
-/// Lines are gathered and written without blocking. Under load ordinary lines are thinned out, and if nobody
-/// reads, lines are dropped; both are counted in a line of their own.
+/// Lines are buffered and written without blocking. Under load some ordinary lines are dropped, and if nobody
+/// reads, all further lines are. The number of dropped lines is logged.
 class LogSink : public DecisionLog
 {
 public:
@@ -21,7 +21,7 @@
     LogSink(std::string instance, WallClock clock);
 
     void write(LogWeight weight, const char *event, boost::json::object fields) override;
-    /// Hands the gathered lines to standard output, as far as it takes them.
+    /// Writes buffered lines to standard output as far as it accepts them.
     void flush();
 
 private:
--- a/src/gateway/rollout/rolloutcontroller.cpp
+++ b/src/gateway/rollout/rolloutcontroller.cpp
@@ -9,31 +9,34 @@
 
 namespace {
 
-/// A target is on trial for so long at least, whatever the order's time says.
+/// Min duration of a trial, whatever duration the order states.
 constexpr DurationMs LeastTrial{4000};
-/// All daemons know of it, send what fills an endpoint, and see what becomes of it.
+/// Time for all daemons to learn of the stage, to send the requests that fill an endpoint, and to observe
+/// their outcome.
 constexpr DurationMs LoadingTime{3000};
-/// What the other endpoints have takes so long to end or to be moved, mostly; kept free at the end.
+/// Time in which most running requests of the other endpoints end or are migrated; reserved at the end of the
+/// roll-out.
 constexpr DurationMs EmptyingTime{4300};
-/// All daemons know of a stage within this.
+/// All daemons have learned of a stage within this time.
 constexpr DurationMs StageKnown{1500};
-/// Requests that just left a daemon's queue are in its reports by then.
+/// Requests that just left a daemon's queue are included in its reports after this time.
 constexpr DurationMs StaysEmpty{600};
-/// With a smaller part of the others' endpoints the target can't carry what they do.
+/// Min ratio of target endpoints to other endpoints; with fewer, the target cannot carry their load.
 constexpr double MostFewer = 0.7;
-/// Without enough answers by so many times the order's time, a version is not proven.
+/// A trial without enough answers after this multiple of the ordered duration is rolled back.
 constexpr int64_t MostTimes = 2;
 constexpr DurationMs CallTimeout{1500};
 constexpr DurationMs RetryPause{300};
 
-/// Parts of the bounds that a trial may use: the rest is for a version that turns bad while all moves there.
+/// Shares of the operator bounds that a trial may use. The rest is reserved for a version that turns bad
+/// while requests move to it.
 constexpr double TrialPartOfShare = 0.5;
 constexpr double TrialPartOfSlack = 0.4;
 constexpr double LoadPartOfBounds = 0.3;
-/// Requests that it takes to have so many run side by side for a while: some end before the others begin.
+/// Requests to send per slot to fill a batch for a while, since some end before the others begin.
 constexpr double RequestsEachPlace = 1.6;
 constexpr double MostTrialShare = 0.3;
-/// Without a word on the service's requests.
+/// Share of the bound to use while the request rate of the service is unknown.
 constexpr double UnknownPartOfShare = 0.6;
 
 } // namespace
@@ -62,7 +65,7 @@
             refuse(*order->second, service);
             continue;
         }
-        // An older store may hold an order that another one has overtaken since.
+        // A store restored from an older copy may hold an order that was superseded since.
         if (isNew && rollouts.mayBeOlder)
             continue;
         if (!isNew && !record)
@@ -231,7 +234,7 @@
     storeCalls_.push_back(std::move(call));
 }
 
-// After a conflict the next read tells what is stored.
+// After a conflict the next read of the store returns the stored record.
 void RolloutDuty::onStoreReply(const StoreReply &reply, TimeMs now)
 {
     const auto found = calls_.find(reply.id);
--- a/src/gateway/rollout/rolloutcontroller.h
+++ b/src/gateway/rollout/rolloutcontroller.h
@@ -9,45 +9,47 @@
 
 namespace cranberry {
 
-/// Bounds that operators set for roll-outs.
+/// Operator settings that limit how many requests a bad version may get: `exposeShare` of all requests of the
+/// service plus `exposeSlack` requests.
 struct RolloutBounds {
-    double exposeShare = 0.1; ///< Of a service's requests, at most to a version that turns out bad...
-    double exposeSlack = 50; ///< ...and so many besides.
+    double exposeShare = 0.1; ///< Max share of the service's requests.
+    double exposeSlack = 50; ///< Number of requests allowed in addition.
 };
 
-/// What the holder sees of one roll-out.
+/// Observations of the leader about one roll-out.
 struct RolloutFacts {
-    uint32_t targetEndpoints = 0; ///< That take requests.
+    uint32_t targetEndpoints = 0; ///< Target endpoints that take requests.
     uint32_t otherEndpoints = 0;
     uint32_t placesOfTarget
-        = 0; ///< Of one endpoint, if requests there take long enough to fill them; else 0.
-    uint32_t runningElsewhere = 0; ///< Requests at endpoints of other versions, of all daemons.
-    std::set<SoftwareVersion> otherVersions; ///< That are listed.
-    double requestsPerSecond = 0; ///< Of the service; 0: not known.
+        = 0; ///< Planned concurrent requests of one target endpoint; 0: not a model engine.
+    uint32_t runningElsewhere = 0; ///< Requests of all daemons that run on endpoints of other versions.
+    std::set<SoftwareVersion> otherVersions; ///< Other versions that are listed.
+    double requestsPerSecond = 0; ///< Request rate of the service; 0: unknown.
     bool isKnownService = true;
     bool isBad = false;
     bool isProven = false;
     VersionJudge::Figures figures;
 };
 
-/// Takes operators' orders through their stages, in the name of the duties' holder.
+/// Advances operators' roll-out orders through their stages while this daemon is the leader.
 ///
-/// A stage is in force once it is stored: all daemons go by the record, and a successor goes on from it. The
-/// trial lasts as long as the order's time allows, since a version may turn bad late: the rest is what moving
-/// and emptying take. Nothing is cut off for the deadline: a roll-out that is late is completed late.
+/// A stage takes effect once it is stored: all daemons follow the stored record, and a new leader continues
+/// from it. A version may turn bad late, so the trial lasts as long as the ordered duration allows; the
+/// remainder is reserved for the moving and emptying stages. No request is cut off to meet the deadline: a
+/// roll-out that is late is completed late.
 class RolloutDuty
 {
 public:
     explicit RolloutDuty(DecisionLog &log) : log_(log) { }
     void setBounds(const RolloutBounds &bounds) { bounds_ = bounds; }
 
-    /// `facts`: of each service with an order or an undecided record.
+    /// `facts` has the observations for each service with an order or an undecided record.
     void tick(const Leadership &leadership, const StoreSync::Rollouts &rollouts,
               const std::map<ServiceName, RolloutFacts> &facts, int64_t wallMs, TimeMs now);
     void onStoreReply(const StoreReply &reply, TimeMs now);
 
     std::vector<StoreCall> takeStoreCalls() { return std::exchange(storeCalls_, {}); }
-    /// Records that are stored now, with their revisions.
+    /// Records that have just been stored, with their revisions.
     struct Written {
         RolloutRecord record;
         uint64_t revision = 0;
@@ -57,8 +59,8 @@
 private:
     struct Service {
         TimeMs nextAt;
-        TimeMs emptySince; ///< Nothing has run at the others since; zero: something does.
-        uint64_t toldOrder = 0; ///< Refused in the log.
+        TimeMs emptySince; ///< Since when no request runs on other versions; zero: some do.
+        uint64_t toldOrder = 0; ///< Revision of the last order that was logged as refused.
     };
     RolloutRecord begin(const RolloutOrder &order, const RolloutRecord *before, const RolloutFacts &facts,
                         uint64_t era, int64_t wallMs) const;
@@ -75,7 +77,7 @@
     DecisionLog &log_;
     RolloutBounds bounds_;
     std::map<ServiceName, Service> services_;
-    std::map<uint64_t, RolloutRecord> calls_; ///< Open ones, with what they write.
+    std::map<uint64_t, RolloutRecord> calls_; ///< Records of the store calls in progress, by call id.
     std::vector<StoreCall> storeCalls_;
     std::vector<Written> written_;
     uint64_t nextCall_ = 1;
--- a/src/gateway/rollout/rolloutview.cpp
+++ b/src/gateway/rollout/rolloutview.cpp
@@ -56,9 +56,9 @@
     return record && !isDecided(record->stage) ? record : nullptr;
 }
 
-// An order that no record answers yet, and a version that is listed by a newer view than the orders are known
-// from, may be the start of a roll-out: such endpoints wait. Without that they would take their part of all
-// requests until the first record comes.
+// An order without a record, and a version first listed in a newer view than the known orders, may be the
+// start of a roll-out. Their endpoints get no requests yet; otherwise they would take their full share of all
+// requests until the first record arrives.
 RolloutView::Rule RolloutView::rule(const ServiceName &service, int64_t wallMs) const
 {
     Rule out;
--- a/src/gateway/rollout/rolloutview.h
+++ b/src/gateway/rollout/rolloutview.h
@@ -4,38 +4,41 @@
 
 namespace cranberry {
 
-/// To which versions a service's requests go, as this daemon may decide. Without a clock.
+/// Decides which versions the requests of a service go to. Uses no clock.
 ///
-/// All daemons decide by the same record, and by a request's id, so that the target's part of the requests is
-/// the same whoever serves, also for daemons that start again or can't hear each other.
+/// All daemons decide by the same record and by the request id. So the target's share of the requests is the
+/// same whichever daemon serves them, even for daemons that restart or cannot reach each other.
 class RolloutView
 {
 public:
-    /// `knownAt`: it was so in the store at or after this time.
+    /// Takes new orders and records. `knownAt`: the store held them at or after this time.
     void take(const RolloutsKnown &known, TimeMs knownAt);
-    /// A version of a service was listed by a view of this age.
+    /// Records that a version of a service was listed in a view read at `listedAt`.
     void noteListed(const ServiceName &service, const SoftwareVersion &version, TimeMs listedAt);
-    /// Versions that no endpoint has any more are forgotten.
+    /// Removes versions that no listed endpoint has any more.
     void forgetOthers(const std::map<ServiceName, std::set<SoftwareVersion>> &listed);
-    /// This daemon found the target of the present roll-out bad: it sends nothing there until that is over.
+    /// Marks the target of the current roll-out as bad: this daemon sends it no requests until that roll-out
+    /// is over.
     void suspect(const ServiceName &service);
 
     struct Rule {
-        SoftwareVersion target; ///< Empty: there is no roll-out to send requests for.
-        double targetShare = 0; ///< Of the requests that have not been sent yet.
-        uint32_t loadRequests = 0; ///< Of all daemons together, to load one endpoint of the target with.
-        bool alsoRepeats = false; ///< Requests that were sent before go to the target, too.
-        std::set<SoftwareVersion> barred; ///< For all other requests, and those without room at the target.
+        SoftwareVersion target; ///< Empty: no roll-out currently sends requests to a target.
+        double targetShare = 0; ///< Share of the requests on their first attempt that goes to the target.
+        uint32_t loadRequests = 0; ///< Requests of all daemons together that load one target endpoint.
+        bool alsoRepeats = false; ///< Retries go to the target as well.
+        /// Versions barred for all other requests, and for requests that find no free slot at the target.
+        std::set<SoftwareVersion> barred;
     };
     Rule rule(const ServiceName &service, int64_t wallMs) const;
 
-    /// The record of a roll-out that is not decided yet; nullptr if there is none.
+    /// Returns the record of the undecided roll-out; nullptr if there is none.
     const RolloutRecord *undecided(const ServiceName &service) const;
-    /// An order is not decided yet, or not taken up.
+    /// Returns whether an order is undecided or has no record yet.
     bool isUnderWay(const ServiceName &service) const;
-    /// Versions whose endpoints don't carry the services' requests, or not yet.
+    /// Returns versions whose endpoints do not carry the services' requests, or not yet.
     std::map<ServiceName, std::set<SoftwareVersion>> outOfUse() const;
-    /// When other versions than the target are to have ended what they have; nothing: they go on.
+    /// Returns when endpoints of versions other than the target must have finished their requests; nothing if
+    /// they continue.
     std::optional<int64_t> emptyByWallMs(const ServiceName &service, const SoftwareVersion &version) const;
     const RolloutsKnown &known() const { return known_; }
 
@@ -44,15 +47,15 @@
 
     RolloutsKnown known_;
     TimeMs knownAt_;
-    std::map<ServiceName, std::map<SoftwareVersion, TimeMs>> listed_; ///< First seen in a view of that age.
+    /// Read time of the first view that listed each version.
+    std::map<ServiceName, std::map<SoftwareVersion, TimeMs>> listed_;
     std::map<ServiceName, SoftwareVersion> suspected_;
 };
 
-/// How a growing part of the requests moves, `inStage` after the stage began.
+/// Returns the share of the requests that goes to the target `inStage` after the moving stage began.
 double movingShare(double trialShare, DurationMs inStage);
-/// The stage in which the part grows is over after this.
-/// What the target has to read anew then is several times the usual: with one second a tenth of the first
-/// events came late.
+/// Duration of the moving stage. The target has to prefill several times the usual amount during it: with one
+/// second a tenth of the first events were late.
 constexpr DurationMs MovingTime{2500};
 
 } // namespace cranberry
--- a/src/gateway/rollout/trialcounts.cpp
+++ b/src/gateway/rollout/trialcounts.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-/// What an endpoint had when it broke is known to be lost within so long.
+/// Interruptions at one endpoint within this time count once: the loss of its running requests is known by
+/// then.
 constexpr DurationMs OneBreak{1000};
-/// Routes that are told apart; further ones count together.
+/// Max routes counted separately; further routes are counted together.
 constexpr size_t MostRoutes = 24;
 constexpr const char *OtherRoutes = "(others)";
-/// A version that is slower "several times" is found at this factor, also where it is so for every second
-/// request; queues of a busy service stay below it.
+/// A version that is slower "several times" is detected at this factor, even if only every second request is
+/// slow; queueing of a busy service stays below it.
 constexpr double SlowFactor = 3;
-constexpr uint32_t LeastKnown = 10; ///< Times before which nothing is called slow.
-constexpr double NewestWeight = 0.02; ///< About the last fifty count.
+constexpr uint32_t LeastKnown = 10; ///< Samples before a time can be classified as slow.
+constexpr double NewestWeight = 0.02; ///< Weight of the newest sample: a moving mean over about fifty.
 
 } // namespace
 
--- a/src/gateway/rollout/trialcounts.h
+++ b/src/gateway/rollout/trialcounts.h
@@ -4,18 +4,20 @@
 
 namespace cranberry {
 
-/// What this daemon's requests tell of a version under trial and of the others beside it.
+/// Counts the outcomes of this daemon's requests at the version on trial and at the other versions.
 class TrialCounts
 {
 public:
-    /// Begins anew for a service; counts of an earlier roll-out of it end.
+    /// Starts the counts of a service; discards those of an earlier roll-out.
     void begin(const ServiceName &service, const SoftwareVersion &target);
     void end(const ServiceName &service);
     bool isOn(const ServiceName &service) const { return trials_.contains(service); }
 
-    /// One more answer, or one that will not come. `group`: of the endpoint, or `TrialCount::Others`.
+    /// Records an answer, or one that will not arrive. `group`: group of the endpoint, or
+    /// `TrialCount::Others`.
     void note(const ServiceName &service, const std::string &route, uint32_t group, bool bad);
-    /// An attempt broke at an endpoint. Its other attempts break with it: they are one answer within a while.
+    /// Records an interrupted attempt. Other attempts at the endpoint are interrupted with it, so all of them
+    /// within a short time count as one answer.
     void noteBroken(const ServiceName &service, const std::string &route, uint32_t group,
                     const std::string &endpoint, TimeMs now);
 
@@ -30,24 +32,25 @@
     struct Trial {
         SoftwareVersion target;
         std::map<Key, TrialCount> counts;
-        std::map<std::string, TimeMs> brokenAt; ///< By endpoint.
+        std::map<std::string, TimeMs> brokenAt; ///< Last counted interruption of each endpoint.
     };
 
     std::map<ServiceName, Trial> trials_;
 };
 
-/// The group of an endpoint's name.
+/// Returns the group of an endpoint by a hash of its name.
 uint32_t trialGroup(const std::string &endpoint);
 
-/// What a step of a service's requests usually takes on a route: a moving mean of logarithms. Of endpoints
-/// that are not on trial.
+/// Moving means (of logarithms) of the time that a step of a request takes on each route, from endpoints that
+/// are not on trial.
 class UsualTimes
 {
 public:
     enum class Step : uint8_t { FirstEvent, EventPace, WholeAnswer };
 
     void note(const std::string &route, Step step, double time);
-    /// Several times the usual time; never while too little is known. Times below `least` are no measure.
+    /// Returns whether `time` is several times the mean; false while there are too few samples. Means below
+    /// `least` are raised to it, since such short times vary for other reasons.
     bool isSlow(const std::string &route, Step step, double time, double least) const;
 
 private:
--- a/src/gateway/rollout/trials.cpp
+++ b/src/gateway/rollout/trials.cpp
@@ -1,5 +1,5 @@
-// Roll-outs, at each daemon: which version a request goes to, what became of it there, and whether the
-// version under trial is suspected.
+// Roll-outs at each daemon: selects the version for a request, records the outcome, and evaluates the version
+// on trial.
 
 #include "gateway/gateway.h"
 
@@ -11,23 +11,25 @@
 namespace {
 
 constexpr DurationMs JudgePace{250};
-/// Events after which a stream's pace is known.
+/// Events after which the mean interval between a stream's events is evaluated.
 constexpr uint64_t PaceEvents = 6;
-/// Whole answers below this differ for reasons that are not the endpoint's.
+/// Full responses shorter than this vary for reasons outside the endpoint.
 constexpr double LeastAnswerMs = 10;
-/// First events are measured against reading all of the prompt: what an endpoint has in its cache makes it
-/// faster, what it lacks is no fault of its version.
+/// First events are compared with the time to prefill the whole prompt. Cached parts make an endpoint faster,
+/// and missing ones are no fault of its version.
 constexpr double LeastFirstEvent = 1;
 constexpr double LeastPaceMs = 1;
 constexpr uint64_t ShareResolution = 10'000;
-/// Endpoints on trial have nothing in their caches and read several times as much as the others: so many
-/// times as many share the work. With as many as the others need, first events took three times as long.
+/// Endpoints on trial have empty caches and prefill several times as much as the others, so the load is
+/// shared by this multiple of the endpoints. With only as many as the other versions need, first events took
+/// three times as long.
 constexpr double ColdReserve = 2;
-/// One endpoint that is bad for a reason of its own must not stand for its version.
+/// Min endpoints on trial, so that one endpoint that is bad for its own reasons does not decide about the
+/// version.
 constexpr size_t LeastOnTrial = 3;
-/// Reading one of the requests that load an endpoint takes less than this part of its target.
+/// A request may load an endpoint if its prefill takes less than its latency target divided by this.
 constexpr double LoadReadingPart = 10;
-/// Of the requests that sizing may give an engine: from this part on it counts as loaded.
+/// An endpoint counts as loaded from this share of the concurrent requests that sizing plans for an engine.
 constexpr double LoadedPart = 0.5;
 
 bool isDrawn(const std::string &requestId, const SoftwareVersion &target, double share)
@@ -43,7 +45,7 @@
     return now.count + usage_.offset();
 }
 
-// ---- Which version ----
+// ---- Version selection ----
 
 void Gateway::onRollouts(const RolloutsRead &read, TimeMs now)
 {
@@ -85,8 +87,8 @@
     rollouts_.forgetOthers(listed);
 }
 
-// Few of them carry what many would get: an endpoint shows what it does only if it has work. The first one is
-// left out: it is there to be loaded.
+// Selects the endpoints that take trial requests. They are few, because an endpoint shows its behaviour only
+// under load. The first one in rank is left out: it takes the requests that load one endpoint.
 std::set<EndpointId> Gateway::trialEndpoints(const Exchange &exchange, const RolloutView::Rule &rule) const
 {
     const std::vector<EndpointId> ranked = fleet_.ranked(exchange.service, rule.target);
@@ -98,7 +100,7 @@
             ranked.begin() + static_cast<std::ptrdiff_t>(to)};
 }
 
-// Requests that are read quickly load an endpoint without making each other late.
+// Requests with a short prefill load an endpoint without delaying each other.
 bool Gateway::mayLoad(const Exchange &exchange, const PlacementQuestion &question,
                       const RolloutView::Rule &rule, TimeMs now) const
 {
@@ -113,9 +115,9 @@
         && reading * LoadReadingPart < static_cast<double>(exchange.route->latencyTarget.count);
 }
 
-// A request that was drawn for the target, and finds no room there, goes where all others go. What was sent
-// before goes to the versions that are known. While the others are to get empty, it waits for the target
-// instead.
+// Selects an endpoint by the rules of the roll-out. A request sampled for the target that finds no free slot
+// there goes to the other versions. Retries go to the known versions. In the emptying stage a request waits
+// for the target instead.
 PlacementResult Gateway::placeByVersion(Exchange &exchange, PlacementQuestion &question, TimeMs now)
 {
     exchange.trialRole = TrialRole::Ordinary;
@@ -148,14 +150,14 @@
     const std::vector<EndpointId> ranked = fleet_.ranked(exchange.service, rule.target);
     if (ranked.empty())
         return {};
-    question.mostWaitMs = 0; // It is to be filled.
+    question.mostWaitMs = 0; // No bound on the wait: the endpoint is to be filled.
     PlacementResult result = placeAtTarget(rule, question, {ranked.front()}, now);
     if (result.choice)
         noteLoad(exchange, *question.engine, result.choice->endpoint);
     return result;
 }
 
-// ---- What became of it ----
+// ---- Outcomes ----
 
 void Gateway::noteLoad(Exchange &exchange, const EngineFigures &engine, const EndpointId &at)
 {
@@ -203,7 +205,8 @@
                           groupOf(endpoint), bad);
 }
 
-// If all of the prompt has to be read, after what is read there before it.
+// Returns the expected time to the first event if the whole prompt must be prefilled, after the prefills
+// queued before it.
 double Gateway::expectedFirstEventMs(const Exchange &exchange, const PlacementChoice &choice) const
 {
     const ReadingSpeed speed = readingSpeed(demand_.readings(exchange.service));
@@ -212,14 +215,15 @@
                         + static_cast<double>(exchange.request->promptTokens) / speed.tokensPerMs);
 }
 
-// Time to the first event, in times of what was expected.
+// Returns the time to the first event as a multiple of the expected time.
 double Gateway::firstEventTimes(const Exchange &exchange, TimeMs now)
 {
     return static_cast<double>((now - exchange.sentAt).count) / std::max(exchange.expectedMs, 1.0);
 }
 
-// While many requests move, engines read several times the usual, and what other daemons have sent is not
-// known yet: first events and the events behind them take longer, whatever the version. Failures still tell.
+// While many requests move, engines prefill several times the usual amount, and requests just sent by other
+// daemons are not known yet. First events and the events after them take longer with any version, so only
+// failures are conclusive.
 bool Gateway::isMoving(const ServiceName &service) const
 {
     const RolloutRecord *record = rollouts_.undecided(service);
@@ -260,8 +264,8 @@
         noteAnswers(exchange, *endpoint, true);
 }
 
-// An answer that is overdue is bad already: one that never comes would be noticed only when its caller has
-// given up.
+// Counts an overdue answer as bad at once: one that never arrives would otherwise be recorded only when its
+// caller gives up.
 void Gateway::noteOverdue(TimeMs now)
 {
     for (const std::pair<const AttemptId, CallerId> &entry : attempts_) {
@@ -281,10 +285,10 @@
     }
 }
 
-// ---- Judging ----
+// ---- Evaluation ----
 
-// All daemons that serve judge from the same counts. One that finds the version bad sends nothing there any
-// more; it need not wait for the holder's word to come through the store.
+// All serving daemons evaluate the same counts. A daemon that finds the version bad stops sending requests to
+// it at once, without waiting for the leader's decision to arrive through the store.
 void Gateway::tickTrials(TimeMs now)
 {
     if (now < trialsAt_)
--- a/src/gateway/rollout/versionevaluator.cpp
+++ b/src/gateway/rollout/versionevaluator.cpp
@@ -7,22 +7,23 @@
 
 namespace {
 
-/// The part of the answers, of those that are usually good, that a bad version spoils at least.
+/// Min share of otherwise good answers that a bad version makes bad.
 constexpr double LeastSpoiled = 0.25;
-/// The score at which a version is bad: about one false alarm in e^7 independent looks.
+/// Score at which a version is bad: about one false alarm in e^7 independent evaluations.
 constexpr double BadScore = 7;
-/// What is usual is taken from so many of the newest answers of the others...
+/// The baseline is taken from about this number of the newest answers of the other versions...
 constexpr double UsualMemory = 300;
-/// ...and from so many good ones that are assumed before any was seen.
+/// ...and from this number of good answers assumed beforehand.
 constexpr double AssumedGood = 20;
-constexpr double LeastUsualBad = 0.02; ///< Lower ones would make a single bad answer weigh too much.
+constexpr double LeastUsualBad = 0.02; ///< With a lower one a single bad answer would weigh too much.
 constexpr double MostUsualBad = 0.9;
-/// Answers of the target that tell whether it fails as a whole, and whether a route does.
+/// Min answers of the target in total, and on each significant route, that prove a version.
 constexpr uint64_t ProvenAnswers = 40;
 constexpr uint64_t ProvenAnswersOfRoute = 3;
-/// A version of which so much more is bad than of the others is not as good, whatever the alarm says.
+/// A version whose share of bad answers exceeds that of the others by more than this is not proven, even
+/// without an alarm.
 constexpr double MostWorse = 0.12;
-/// A route with a smaller part of the others' answers needs no proof of its own.
+/// A route with a smaller share of the other versions' answers needs no proof of its own.
 constexpr double NoticeablePart = 0.1;
 
 constexpr const char *AllRoutes = "";
@@ -42,7 +43,7 @@
         if (each.route != TrialCount::LoadRoute)
             add(AllRoutes);
     }
-    // A daemon that is gone takes its counts with it: sums may fall, and nothing is learned then.
+    // The counts of a daemon that left are missing from the sums: where a sum falls, this update is skipped.
     std::map<Key, Counts> news;
     for (const std::pair<const Key, Counts> &total : totals) {
         const Counts before = sums_[total.first];
@@ -59,7 +60,7 @@
     const uint32_t worst = worstGroup();
     for (const std::string &route : routes) {
         double &score = scores_[route];
-        // One endpoint alone is loaded.
+        // Only one endpoint is loaded, so no group is left out there.
         score = std::max(
             0.0, score + step(route, news, route == TrialCount::LoadRoute ? TrialCount::Others : worst));
         if (score >= BadScore && !isBad_) {
@@ -99,7 +100,7 @@
     return sum;
 }
 
-// The group with the most bad answers, if there are others to go by.
+// Returns the group with the most bad answers, or `Others` if no second group has answers.
 uint32_t VersionJudge::worstGroup() const
 {
     uint32_t worst = TrialCount::Others;
--- a/src/gateway/rollout/versionevaluator.h
+++ b/src/gateway/rollout/versionevaluator.h
@@ -6,36 +6,38 @@
 
 namespace cranberry {
 
-/// Judges a version under trial against the others, from what became of requests at the same time and on the
-/// same routes.
+/// Evaluates a version on trial against the other versions, from the outcomes of requests at the same time
+/// and on the same routes.
 ///
-/// A sequential test (a cumulative sum of log likelihood ratios, one for each route and one for all): after
-/// each step it weighs how much better "a part of the answers is bad beyond the usual" explains the newest
-/// answers than "as many are bad as at the others". It forgets good answers of long ago, so a version that
-/// turns bad late is found as soon as one that is bad from the start, and it needs no fixed number of
-/// answers.
+/// It is a sequential test (CUSUM: a cumulative sum of log-likelihood ratios, one for each route and one for
+/// all routes). Each step compares two hypotheses for the newest answers: "a share of the answers is bad in
+/// addition to the baseline" and "as many are bad as at the other versions". Old good answers do not
+/// accumulate, so a version that turns bad late is found as soon as one that is bad from the start, and no
+/// fixed number of answers is needed.
 ///
-/// Endpoints also crash, fail and stand still for reasons of their own, and take all requests that they had
-/// with them. So bad answers of one group of endpoints in one step count once, and the group with the most is
-/// left out: a bad version is bad everywhere.
+/// Endpoints also crash, fail and pause for reasons of their own, and fail all their running requests with
+/// them. So the bad answers of one group of endpoints in one step count once, and the group with the most bad
+/// answers is left out: a bad version is bad on all endpoints.
 ///
-/// Load it answers: any; with few requests it takes longer.
+/// It works at any request rate; with few requests it takes longer.
 class VersionJudge
 {
 public:
-    /// Sums over all daemons since the trial began. Call it at a steady pace.
+    /// Takes the sums over all daemons since the trial began. Call it at a regular interval.
     void take(const std::vector<TrialCount> &sums);
 
     bool isBad() const { return isBad_; }
-    /// There were enough answers on each route that a noticeable part of the requests takes, and not clearly
-    /// more of them bad than elsewhere: the absence of an alarm alone is no proof.
+    /// Returns whether there are enough answers in total and on each route with a significant share of the
+    /// requests, and the share of bad ones is not clearly higher than at the other versions. The absence of
+    /// an alarm alone is no proof.
     bool isProven() const;
 
-    /// What the judgement rests on.
+    /// Figures behind the evaluation, for logs and operators.
     struct Figures {
-        std::string route; ///< That decided, or has the highest score so far; empty: all together.
+        /// The deciding route, or the one with the highest score so far; empty: all routes.
+        std::string route;
         double score = 0;
-        uint64_t answers = 0; ///< Of the target on that route.
+        uint64_t answers = 0; ///< Answers of the target on that route.
         uint64_t bad = 0;
         uint64_t othersAnswers = 0;
         uint64_t othersBad = 0;
@@ -43,12 +45,12 @@
     Figures figures() const;
 
 private:
-    using Key = std::pair<std::string, uint32_t>; ///< Route (empty: all) and group.
+    using Key = std::pair<std::string, uint32_t>; ///< Route (empty: all routes) and group.
     struct Counts {
         uint64_t answers = 0;
         uint64_t bad = 0;
     };
-    /// Answers of the others, as moving sums.
+    /// Answers of the other versions as decaying sums.
     struct Usual {
         double answers = 0;
         double bad = 0;
@@ -56,7 +58,7 @@
     void takeUsual(const std::string &route, const Counts &news);
     double step(const std::string &route, const std::map<Key, Counts> &news, uint32_t worst) const;
     uint32_t worstGroup() const;
-    Counts targetCounts(const std::string &route) const; ///< Of all groups of the target.
+    Counts targetCounts(const std::string &route) const; ///< Sums over all groups of the target.
 
     std::map<Key, Counts> sums_;
     std::map<std::string, Usual> usual_;
@@ -65,7 +67,7 @@
     bool isBad_ = false;
 };
 
-/// Adds the figures to a line of the log.
+/// Adds the figures to the fields of a log event.
 void addFigures(const VersionJudge::Figures &figures, boost::json::object &fields);
 
 } // namespace cranberry
--- a/src/gateway/sizing/demandmeter.cpp
+++ b/src/gateway/sizing/demandmeter.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// Time constant of the means: long against a few large prompts at once, short against the time an engine
-/// takes to start. With 2 s, peaks of single prompts kept one or two engines more on demand through a
-/// shortage.
+/// Time constant of the demand means. It is long enough to average out a few large prompts that arrive
+/// together and short compared with an engine's start time. With 2 s, peaks from single prompts kept one or
+/// two extra on-demand engines through a shortage.
 constexpr double MeanSeconds = 4.0;
-/// Time constant of the readings: some hundred requests of a busy service, so that single odd ones count
-/// little.
+/// Time constant of the prefill samples: covers some hundred requests of a busy service, so that single
+/// outliers have little weight.
 constexpr double ReadingSeconds = 30.0;
 
 } // namespace
--- a/src/gateway/sizing/demandmeter.h
+++ b/src/gateway/sizing/demandmeter.h
@@ -6,21 +6,23 @@
 
 namespace cranberry {
 
-/// This daemon's demand on each service's engines, and what reading prompts took there.
+/// Measures this daemon's demand on the engines of each service and how long prefill took there.
 class DemandMeter
 {
 public:
-    /// A request is sent that is to read `tokens`; its caller wants the first event within `target`.
+    /// Records a request that is sent and needs a prefill of `tokens`; `target` is its time-to-first-event
+    /// target.
     void prefill(const ServiceName &service, uint64_t tokens, DurationMs target);
-    /// The first event of a request that found no queue came `took` after it was sent.
+    /// Records that the first event of a request that found no queue arrived `took` after it was sent.
     void firstEvent(const ServiceName &service, uint64_t tokens, DurationMs took);
-    /// Call at a steady pace; `running` are the requests at endpoints or waiting for one now.
+    /// Updates the means; call it at a regular interval. `running` has the number of requests per service
+    /// that run at an endpoint or wait for one.
     void sample(const std::map<ServiceName, uint32_t> &running, TimeMs now);
     std::vector<ServiceDemand> values() const;
     ReadingSums readings(const ServiceName &service) const;
 
 private:
-    std::map<ServiceName, ServiceDemand> pending_; ///< Sums since the last sample.
+    std::map<ServiceName, ServiceDemand> pending_; ///< Sums since the last call of `sample`.
     std::map<ServiceName, ServiceDemand> means_;
     TimeMs sampledAt_;
     bool started_ = false;
--- a/src/gateway/sizing/enginecapacity.cpp
+++ b/src/gateway/sizing/enginecapacity.cpp
@@ -7,37 +7,38 @@
 
 namespace {
 
-/// Until enough first events were seen. Beside their running streams, engines of three deployments read 36 to
-/// 44 tokens a ms in the mean of a day.
+/// Defaults until enough first events have been measured. Alongside their running streams, engines of three
+/// deployments prefilled 36 to 44 tokens per ms on average over a day.
 constexpr double UsualTokensPerMs = 45;
 constexpr double UsualBaseMs = 100;
-constexpr double UsualTokens = 5000; ///< Mean size of the request that one waits behind.
+constexpr double UsualTokens = 5000; ///< Mean prefill that a new request waits behind.
 constexpr double UsualTargetMs = 600;
-/// Fewer readings than this say little: lines through 77 to 173 of them, in windows of 10 s, gave 26 to 43
-/// tokens a ms for the engines of one deployment.
+/// Min samples for the linear fit. Fits through 77 to 173 samples, in windows of 10 s, gave 26 to 43 tokens
+/// per ms for the engines of one deployment.
 constexpr double LeastReadings = 30;
-/// A learned speed beyond these is an artefact: parts that were cached unknown to us, or a stalled engine.
+/// A fitted speed outside these bounds is an artefact of prompt parts that were cached without our knowledge,
+/// or of a stalled engine.
 constexpr double SlowestTokensPerMs = 2;
 constexpr double FastestTokensPerMs = 2000;
-/// Requests whose first event is late for want of engines, of all, by the estimate below, when the least
-/// engines are there (after a reclaim). The estimate knows neither priorities nor the choice of the shortest
-/// queue: 1 to 3 in 100 were late outside of outages.
+/// Max share of requests whose first event is late for lack of engines, by the estimate in `maxUtilization`,
+/// when only the minimum number of engines is left (after a reclaim). The estimate ignores priorities and the
+/// choice of the shortest queue: outside of outages 1 to 3 in 100 requests were late.
 constexpr double LatePart = 0.09;
-/// Bounds of the part of an engine's time that reading may take. After a reclaim the shared parts that lay
-/// there are read again, a third and more of the usual reading for some seconds, whatever the targets are:
-/// with 0.75 two deployments with long shared parts and lenient targets served 1 in 100 less of their day
-/// than with 0.6.
+/// Bounds of the share of an engine's time spent on prefill. After a reclaim the shared prompt parts that
+/// were cached there are prefilled again, which adds a third or more to the usual prefill for some seconds,
+/// whatever the targets are. With a max of 0.75, two deployments with long shared parts and lenient targets
+/// served 1 in 100 requests fewer per day than with 0.6.
 constexpr double LeastUsed = 0.2;
 constexpr double MostUsed = 0.62;
 constexpr double LeastSlackMs = 20;
-constexpr int BisectionSteps = 20; ///< 2^-20 of the range.
-/// Standard deviations kept free in a batch: about 2 in 100 of the moments have more requests than places.
+constexpr int BisectionSteps = 20; ///< Narrows the range to 2^-20 of its width.
+/// Standard deviations of the batch size kept free as headroom: in about 2 in 100 moments there are more
+/// requests than slots.
 constexpr double SpreadsFree = 2;
 
-// The largest part of an engine's time that reading may take so that few requests wait beyond their slack.
-// The wait behind others is taken as exponential, as in a queue with one server: with a part `used` of the
-// time busy, and `behindMs` to wait for what is being read on average, used * exp(-slack * (1 - used) /
-// behind).
+// Returns the largest share of an engine's time that prefill may use so that few requests wait longer than
+// their slack. The queueing time is taken as exponential, as in a single-server queue: at utilization u and a
+// mean residual prefill of `queuedMs`, the late share is u * exp(-slack * (1 - u) / queuedMs).
 double usedPart(double slackMs, double behindMs)
 {
     double least = LeastUsed;
@@ -50,7 +51,8 @@
     return least;
 }
 
-// Arrivals spread like a Poisson process: a mean m with m + k sqrt(m) = slots leaves k deviations free.
+// Returns the mean number of running requests for a batch of `slots`. Arrivals are taken as a Poisson
+// process: a mean m with m + k sqrt(m) = slots leaves k standard deviations free.
 double runningMean(double slots)
 {
     const double root = std::sqrt(SpreadsFree * SpreadsFree / 4 + slots) - SpreadsFree / 2;
@@ -79,7 +81,7 @@
     const ReadingSpeed speed = readingSpeed(demand.readings);
     const bool isKnown = demand.requestsPerSecond > 0 && demand.prefillTokensPerSecond > 0;
     const double targetMs = isKnown ? demand.targetMsPerSecond / demand.requestsPerSecond : UsualTargetMs;
-    // What is being read when a request arrives: large prompts are met more often than small ones.
+    // Mean prefill in progress when a request arrives: large prompts are met more often than small ones.
     const double behindTokens
         = isKnown ? demand.prefillSquaresPerSecond / demand.prefillTokensPerSecond / 2 : UsualTokens;
     const double slackMs = std::max(targetMs - speed.baseMs, LeastSlackMs);
--- a/src/gateway/sizing/enginecapacity.h
+++ b/src/gateway/sizing/enginecapacity.h
@@ -4,23 +4,24 @@
 
 namespace cranberry {
 
-/// What one engine of a service may be given when the least engines are there that sizing allows.
+/// Load that one engine of a service may carry when only the minimum number of engines that sizing allows is
+/// left.
 struct EngineCapacity {
-    double tokensPerSecond = 0; ///< To read.
-    double running = 0; ///< Requests side by side.
+    double tokensPerSecond = 0; ///< Prefill rate.
+    double running = 0; ///< Concurrent requests.
 };
 
-/// How fast an engine reads, and what a first event takes besides.
+/// Prefill speed of an engine, and the fixed part of the time to the first event.
 struct ReadingSpeed {
     double tokensPerMs = 0;
     double baseMs = 0;
 };
 
-/// The line through the readings; usual figures while there are too few of them.
+/// Fits a line through the prefill samples; returns defaults while there are too few of them.
 ReadingSpeed readingSpeed(const ReadingSums &readings);
 
-/// From what is observed of the service's requests and engines, and from what callers want. Without network
-/// or clock, for tests.
+/// Computes the capacity from the observed requests and engines of the service and the latency targets of
+/// callers. Uses no network or clock, so that tests can call it directly.
 EngineCapacity engineCapacity(const EngineFigures &engine, const ServiceDemand &demand);
 
 } // namespace cranberry
--- a/src/gateway/sizing/engineplan.cpp
+++ b/src/gateway/sizing/engineplan.cpp
@@ -8,25 +8,26 @@
 
 namespace {
 
-/// The least there is of a service: one may be lost at any time.
+/// Min engines of a service: one may be lost at any time.
 constexpr uint32_t LeastEngines = 2;
 constexpr uint32_t LeastEachDomain = 2;
-/// With this part of the engines wanted the demand is still carried, with longer queues.
+/// With this share of the needed engines the demand is still served, with longer queues.
 constexpr double TightPart = 0.7;
-/// Once more than half of the domains have lost their reclaimable engines in a shortage, the last ones mostly
-/// follow, and the few engines that are left read again what lay at all of them: with three of four lost
-/// so many times the usual need is planned for. With the tight part alone one request in three was answered
-/// in time until others could be had. From the first loss on it costs more than it brings where one domain is
-/// all that is taken.
+/// When more than half of the domains have lost their reclaimable engines in a shortage, the others mostly
+/// follow, and the few engines left must prefill again what all of them had cached. With three of four
+/// domains lost, this multiple of the usual need is planned. With `ShortageCapacityFactor` alone one request
+/// in three was answered in time until new engines were available. The increase does not start at the first
+/// loss: where only one domain is reclaimed it costs more than it gains.
 constexpr double WavePart = 2.5;
 constexpr double FirstLossPart = 0.5;
 constexpr double WaveLossPart = 0.75;
 constexpr double IdleRunning = 0.05;
-/// Part of the domains whose reclaimable engines may go within the time in which none come. Reclaims come in
-/// waves: with many domains one is a small part, and two of six went within ten seconds again and again.
+/// Share of the domains whose reclaimable engines may be reclaimed before replacements are available.
+/// Reclaims come in waves: of six domains, two were repeatedly reclaimed within ten seconds.
 constexpr double LostPart = 0.3;
-/// Operators state the most engines of a domain. Until the first start's demand is known, this part of it is
-/// taken: nothing is cached yet and all is read. With two a domain a heavy day was served to 0.83, not 0.90.
+/// Share of the max engines per domain (set by operators) to start with until the demand of the first start
+/// is known, since caches are empty and every prompt is prefilled in full. With two engines per domain a
+/// heavy day was served to 0.83 instead of 0.90.
 constexpr double FirstStartPart = 0.5;
 
 uint32_t enginesFor(const ServiceDemand &demand, const EngineCapacity &each)
@@ -36,22 +37,22 @@
     return static_cast<uint32_t>(std::ceil(std::max(byReading, byRunning)));
 }
 
-// Domains whose reclaimable engines may go before new ones come.
+// Returns how many domains may lose their reclaimable engines before replacements are available.
 uint32_t lostAtOnce(uint32_t domains)
 {
     const uint32_t lost = static_cast<uint32_t>(std::lround(LostPart * domains));
     return domains > 1 ? std::clamp(lost, 1U, domains - 1) : 0;
 }
 
-// The part of the demand that engines are to carry after the next reclaim of a shortage, by the part of the
-// domains that have lost theirs.
+// Returns the multiple of the usual need that must remain after the next reclaim in a shortage, given the
+// share of domains that have lost their reclaimable engines.
 double partInShortage(double lostPart)
 {
     const double wave = std::clamp((lostPart - FirstLossPart) / (WaveLossPart - FirstLossPart), 0.0, 1.0);
     return TightPart + wave * (WavePart - TightPart);
 }
 
-// Domains by price, cheapest first; those without a price are last.
+// Returns the indices of the domains by price, cheapest first; domains without a price come last.
 std::vector<size_t> byPrice(const ScalingBounds &bounds, const std::vector<DomainPlan> &plan)
 {
     std::vector<size_t> order(plan.size());
@@ -76,7 +77,7 @@
                                     const SizingQuestion &question,
                                     const std::map<FailureDomainName, DomainStock> &stock)
 {
-    // Step 1. What the demand needs, and what each domain holds of it.
+    // Step 1. Compute the engines that the demand needs, and the number per domain.
     std::vector<DomainPlan> plan;
     const uint32_t domains = static_cast<uint32_t>(stock.size());
     if (domains == 0)
@@ -107,7 +108,8 @@
     }
     const std::vector<size_t> cheapest = byPrice(bounds, plan);
 
-    // Step 2. Reclaimable ones: the same in each domain; what a short domain lacks goes to the others.
+    // Step 2. Reclaimable engines: the same number in each domain; the other domains make up for what a
+    // domain in shortage lacks.
     uint32_t missing = 0;
     for (DomainPlan &domain : plan) {
         const DomainStock &have = stock.at(domain.failureDomain);
@@ -123,9 +125,10 @@
         missing -= more;
     }
 
-    // Step 3. On demand: all that is needed where there are no cheaper ones; where those are scarce, what
-    // would be missing after the next reclaim. Else those that are there stay until the others carry the
-    // demand; before there is any, that the others come is enough.
+    // Step 3. On-demand engines: the full need where reclaimable ones are not cheaper; in a shortage of
+    // reclaimable engines, what would be missing after the next reclaim. Otherwise the existing ones stay
+    // until reclaimable engines carry the demand; before any demand, accepted orders for reclaimable engines
+    // are enough.
     uint32_t onDemand = 0;
     if (!cheap) {
         onDemand = needed;
@@ -138,8 +141,9 @@
         onDemand = std::min(readyOnDemand, needed);
     }
 
-    // Step 4. A domain that is short of reclaimable ones gets its least on demand anyway: the platform sees
-    // to that. They count; ordered besides, one or two engines would be paid for nothing through a shortage.
+    // Step 4. Distribute the on-demand engines. The platform starts the minimum of a domain that is short of
+    // reclaimable engines on demand by itself, so they count here; ordering them in addition would pay for
+    // one or two idle engines throughout a shortage.
     for (DomainPlan &domain : plan) {
         const DomainStock &have = stock.at(domain.failureDomain);
         if (!cheap || !have.reclaimableShort)
@@ -147,8 +151,8 @@
         domain.onDemand = bounds.least - std::min(bounds.least, have.reclaimable);
         onDemand -= std::min(onDemand, domain.onDemand);
     }
-    // Those that are there stay where they are: ordered in a cheaper domain instead, they would be stopped
-    // seconds before the others have started.
+    // Existing on-demand engines stay in their domains: moving the order to a cheaper domain would stop them
+    // seconds before their replacements have started.
     for (size_t i : cheapest) {
         const uint32_t there = stock.at(plan[i].failureDomain).onDemand;
         const uint32_t more = std::min(onDemand, there - std::min(there, plan[i].onDemand));
--- a/src/gateway/sizing/engineplan.h
+++ b/src/gateway/sizing/engineplan.h
@@ -7,46 +7,48 @@
 
 namespace cranberry {
 
-/// Engines wanted in one failure domain.
+/// Target number of engines in one failure domain.
 struct DomainPlan {
     FailureDomainName failureDomain;
     uint32_t onDemand = 0;
     uint32_t reclaimable = 0;
 };
 
-/// What there is in one failure domain.
+/// Engines that exist in one failure domain.
 struct DomainStock {
-    uint32_t onDemand = 0; ///< Ready, not leaving.
+    uint32_t onDemand = 0; ///< Ready and not leaving.
     uint32_t reclaimable = 0;
-    uint32_t coming = 0; ///< Reclaimable ones that were ordered and accepted, and are not there yet.
-    bool reclaimableShort = false; ///< None could be had lately.
-    uint32_t onTrial = 0; ///< On demand, of a version that is being rolled out; not counted above.
-    uint32_t barred = 0; ///< On demand, of a version that gets no requests any more; not counted above.
+    uint32_t coming = 0; ///< Reclaimable engines ordered and accepted, not listed yet.
+    bool reclaimableShort = false; ///< The platform recently had no reclaimable engines.
+    uint32_t onTrial = 0; ///< On-demand engines of a version being rolled out; not counted above.
+    uint32_t barred = 0; ///< On-demand engines of a barred version; not counted above.
 
     friend bool operator==(const DomainStock &, const DomainStock &) = default;
 };
 
-/// What engines are planned for.
+/// Input of `planEngines`.
 struct SizingQuestion {
     ServiceDemand demand;
-    /// Engines that were enough before; counts until the demand has been seen for a while.
+    /// Number of engines found when this daemon became leader; a lower bound until the demand has been
+    /// observed for a while.
     uint32_t known = 0;
-    /// The whole system starts for the first time: nothing tells yet how many will be needed.
+    /// The whole system starts for the first time, so there is no earlier demand to go by.
     bool firstStart = false;
-    bool scarce = false; ///< Reclaimable ones can't be had in any domain.
+    bool scarce = false; ///< No domain has reclaimable engines available.
 };
 
-/// Below this there is no demand yet.
+/// Returns whether there is practically no demand yet.
 bool isIdle(const ServiceDemand &demand);
 
-/// How many engines each failure domain gets, for a demand. Without a network or a clock, for tests.
+/// Plans the number of engines in each failure domain for a demand. Uses no network or clock, so that tests
+/// can call it directly.
 ///
-/// Reclaimable engines are taken where they are cheaper. A failure domain's reclaimable ones may go all at
-/// once, and reclaims come in waves, so they are spread over all domains, and the rest must carry the demand
-/// without one domain in four or two in six. Where
-/// none can be had, other domains get more. Where none can be had anywhere, the next reclaim may come before
-/// new ones do: then engines on demand, in the cheapest domains, make up for one domain more, and for several
-/// times the usual need once most domains are lost.
+/// Reclaimable engines are used where they are cheaper. All reclaimable engines of a failure domain may be
+/// reclaimed at once, and reclaims come in waves. So they are spread over all domains, and the remaining ones
+/// must carry the demand without one domain in four or two in six. Where a domain has none available, the
+/// other domains get more. Where no domain has any, the next reclaim may come before replacements do: then
+/// on-demand engines in the cheapest domains make up for the loss of one more domain, and for several times
+/// the usual need once most domains are lost.
 std::vector<DomainPlan> planEngines(const ScalingBounds &bounds, const EngineCapacity &capacity,
                                     const SizingQuestion &question,
                                     const std::map<FailureDomainName, DomainStock> &stock);
--- a/src/gateway/sizing/enginesizing.cpp
+++ b/src/gateway/sizing/enginesizing.cpp
@@ -6,31 +6,31 @@
 
 namespace {
 
-/// A new holder orders nothing until no new engine has come for a heartbeat of the usual length, or this
-/// long.
+/// A new leader sends no order until no further engine has appeared for `DiscoveryQuietTime` (a usual
+/// heartbeat interval), or until `MaxDiscoveryTime` is over.
 constexpr DurationMs FindingPause{1500};
 constexpr DurationMs MostFindingTime{5000};
-/// Engines are kept for the highest demand of this long: starting one takes seconds, stopping one may cut
-/// work.
+/// Engines are sized for the peak demand of this period: starting an engine takes seconds, and stopping one
+/// may interrupt requests.
 constexpr DurationMs PeakMemory{30000};
-/// So long engines are kept as they were found: before that the peak of the demand is not known. With half of
-/// it, a third of 90 engines were stopped while the demand was still rising, and what they held was read
-/// again.
+/// The engines found at the start are kept for this time, because the peak demand is not known before. With
+/// half of it, a third of 90 engines were stopped while the demand was still rising, and the prompts cached
+/// there were prefilled again.
 constexpr DurationMs LearningTime = PeakMemory;
 constexpr DurationMs SamplePace{500};
-/// Planning is cheap, and each step of finding out what can be had after a reclaim waits for the next plan.
+/// Planning is cheap, and after a reclaim each attempt to find available engines waits for the next plan.
 constexpr DurationMs PlanPace{100};
-/// An order that is in force is said again now and then: the receiver may have lost it.
+/// Confirmed orders are resent at this interval, since the receiver may have lost them.
 constexpr DurationMs RepeatPace{10000};
-/// Engines that were not ordered are there: said again at this pace. The platform starts some by itself where
-/// a domain would have fewer than its least, and goes on with them; for 10 s each cost as much as five
-/// others.
+/// Resend interval while there are more engines than ordered. The platform starts on-demand engines by itself
+/// where a domain falls below its minimum, and keeps them running; in 10 s each of them cost as much as five
+/// reclaimable ones.
 constexpr DurationMs CorrectionPace{1000};
 constexpr DurationMs CallTimeout{1500};
 constexpr DurationMs RetryPause{700};
-/// "None available" is asked again after this.
+/// Delay before an order is retried after the reply "none available".
 constexpr DurationMs ShortagePause{1500};
-/// So long after the last such answer a domain counts as short.
+/// Time after the last such reply during which the domain counts as short of reclaimable engines.
 constexpr DurationMs ShortageMemory{4000};
 
 } // namespace
@@ -58,7 +58,7 @@
     if (!leadership.held || !configuration || !fleet.known())
         return;
     if (leadership.fencingToken != lastToken_) {
-        // What another holder ordered meanwhile is not known: all is said again.
+        // Orders sent by another leader in the meantime are not known: send all orders again.
         lastToken_ = leadership.fencingToken;
         ordered_.clear();
         open_.clear();
@@ -89,9 +89,9 @@
         }
         const std::vector<DomainPlan> plan
             = planEngines(*service.scaling, engineCapacity(*service.engine, peak), question, stock);
-        // At the first start those on demand go as soon as the cheaper ones were accepted: nothing runs yet,
-        // and what was found need not be counted. Waiting for the count cost as much as the cheaper ones cost
-        // in a quarter of a minute.
+        // At the first start on-demand engines are stopped as soon as the orders for cheaper ones were
+        // accepted: no request runs yet, and the engines found need no complete count. Waiting for the count
+        // cost as much as the cheaper engines cost in 15 s.
         const bool allComing = std::all_of(plan.begin(), plan.end(), [&](const DomainPlan &domain) {
             const DomainStock &have = stock.at(domain.failureDomain);
             return domain.onDemand == 0 && have.reclaimable + have.coming >= domain.reclaimable;
@@ -113,8 +113,8 @@
     }
 }
 
-// At the first start entries come one by one over some heartbeats. An order before the last has come would
-// stop engines that nobody has counted yet.
+// At the first start entries are listed one by one over some heartbeats. An order sent before the last entry
+// is listed would stop engines that have not been counted.
 bool EngineSizing::isStillFinding(const ServedService &service, const EndpointFleet &fleet, TimeMs now)
 {
     ServiceState &state = services_[service.name];
@@ -128,7 +128,7 @@
         return false;
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : fleet.all()) {
         const EndpointEntry &endpoint = entry.second.entry;
-        // Reclaimable ones that come later are those just ordered.
+        // Reclaimable engines that appear later are those just ordered.
         const bool counts = firstLook || !endpoint.reclaimable;
         if (firstLook && endpoint.service == service.name && endpoint.reclaimable)
             state.foundOnDemandOnly = false;
@@ -140,8 +140,8 @@
     return true;
 }
 
-// What there is and what is short. Scarcity lasts until the last short domain got what was ordered: a domain
-// that holds all it was ordered says nothing about whether there are more.
+// Counts the engines of each domain and finds shortages. Scarcity lasts until every domain in shortage got
+// its ordered engines: a domain that already has all it ordered does not show whether more are available.
 std::map<FailureDomainName, DomainStock> EngineSizing::takeStock(const ServedService &service,
                                                                  const EndpointFleet &fleet,
                                                                  const RolloutView &rollouts, TimeMs now)
@@ -155,7 +155,8 @@
         if (endpoint.service != service.name)
             continue;
         if (endpoint.leaving || entry.second.gone) {
-            // A reclaim shows first as engines that leave unasked: ask for others at once.
+            // The first sign of a reclaim is that reclaimable engines leave without an order: order
+            // replacements at once.
             if (endpoint.reclaimable && reclaimSeen_.insert(entry.first).second)
                 askAgain(service.name);
             continue;
@@ -187,9 +188,10 @@
     return stock;
 }
 
-// Engines of a version that is being rolled out come beside the others, on demand, and may be listed late: an
-// order of as many as are seen would stop those that are not. So nothing is ordered meanwhile but what a
-// shortage needs besides, and as if each domain had as many of the new ones as the one with most.
+// Returns the largest number of engines on trial in any domain. Engines of a version being rolled out run on
+// demand beside the others and may be listed late: an order for the listed number would stop those not listed
+// yet. So during a roll-out only the additional engines of a shortage are ordered, and every domain is
+// assumed to have as many engines on trial as the one with the most.
 uint32_t EngineSizing::mostOnTrial(const std::map<FailureDomainName, DomainStock> &stock)
 {
     uint32_t most = 0;
@@ -198,7 +200,7 @@
     return most;
 }
 
-// What was ordered before a roll-out may have been of a version that is gone by its end.
+// Engines ordered before a roll-out may be of a version that is stopped by its end: resend the orders.
 void EngineSizing::noteRollout(const ServiceName &service, const RolloutView &rollouts)
 {
     const bool isUnderWay = rollouts.isUnderWay(service);
--- a/src/gateway/sizing/enginesizing.h
+++ b/src/gateway/sizing/enginesizing.h
@@ -13,11 +13,11 @@
 
 namespace cranberry {
 
-/// Orders engines in the name of the duty's holder.
+/// Orders engines while this daemon is the leader.
 class EngineSizing
 {
 public:
-    /// `firstStart`: no daemon of the whole system has run before.
+    /// `firstStart`: no daemon of the deployment has run before.
     EngineSizing(bool firstStart, DecisionLog &log) : firstStart_(firstStart), log_(log) { }
 
     void tick(const Leadership &leadership, const EndpointFleet &fleet, const RolloutView &rollouts,
@@ -37,17 +37,17 @@
         uint32_t count = 0;
         bool confirmed = false;
         TimeMs nextAt;
-        TimeMs shortUntil; ///< None could be had: not asked again before.
+        TimeMs shortUntil; ///< End of the shortage that "none available" reported.
     };
     struct ServiceState {
         std::deque<std::pair<TimeMs, ServiceDemand>> samples;
         bool scarce = false;
-        std::set<EndpointId> foundAtStart; ///< Engines that were there when this daemon began to lead.
-        TimeMs foundAt; ///< The newest of them.
-        bool foundOnDemandOnly = false; ///< No reclaimable one was there at the first look.
-        std::optional<TimeMs> demandSince; ///< First seen.
-        std::map<FailureDomainName, DomainStock> toldStock; ///< In the log.
-        bool wasUnderWay = false; ///< A roll-out.
+        std::set<EndpointId> foundAtStart; ///< Engines found after this daemon became leader.
+        TimeMs foundAt; ///< When the last of them was found.
+        bool foundOnDemandOnly = false; ///< The first scan found no reclaimable engine.
+        std::optional<TimeMs> demandSince; ///< When demand was first seen.
+        std::map<FailureDomainName, DomainStock> toldStock; ///< Stock that was logged last.
+        bool wasUnderWay = false; ///< A roll-out was in progress at the last tick.
     };
     bool isStillFinding(const ServedService &service, const EndpointFleet &fleet, TimeMs now);
     std::map<FailureDomainName, DomainStock> takeStock(const ServedService &service,
@@ -67,7 +67,7 @@
     std::map<ServiceName, ServiceState> services_;
     std::map<Subject, Ordered> ordered_;
     std::map<uint64_t, Subject> open_;
-    std::set<EndpointId> reclaimSeen_; ///< Reclaimable engines that leave, each noticed once.
+    std::set<EndpointId> reclaimSeen_; ///< Reclaimable engines already seen leaving.
     std::vector<DutyCall> calls_;
     uint64_t nextCall_ = 1;
     uint64_t lastToken_ = 0;
--- a/tests/enginesizing_test.cpp
+++ b/tests/enginesizing_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// 18,000 tokens a second and 22 requests side by side an engine.
+/// Each engine prefills 18,000 tokens per second and runs 22 requests concurrently.
 constexpr EngineCapacity Capacity{18'000, 22.4};
 
 ScalingBounds makeBounds(double reclaimablePrice)
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST_CASE("cheap engines are spread so that the loss of a failure domain leaves enough")
+TEST_CASE("reclaimable engines are spread so that enough remain after the loss of a failure domain")
 {
     const std::vector<DomainPlan> plan
         = planEngines(makeBounds(0.2), Capacity, questionFor(90'000, 20), makeStock(0, 3));
@@ -58,14 +58,15 @@
         CHECK(domain.onDemand == 0);
         CHECK(domain.reclaimable >= 3);
     }
-    // Five engines carry 90,000 tokens a second at 18,000 each.
+    // Five engines carry 90,000 tokens per second at 18,000 each.
     CHECK(sumReclaimable(plan) - plan[0].reclaimable >= 5);
 }
 
-TEST_CASE("with many failure domains the loss of two of them leaves enough")
+TEST_CASE("with many failure domains enough engines remain after the loss of two of them")
 {
-    // Six domains: two are reclaimed within ten seconds, and none can be had for longer than that. With the
-    // loss of one planned for, 15 in 100 requests were late until new ones came.
+    // Guards against planning for the loss of one domain only. Of six domains two are reclaimed within ten
+    // seconds, and replacements take longer than that: with the loss of one planned for, 15 in 100 requests
+    // were late until new engines came.
     ScalingBounds bounds = makeBounds(0.2);
     bounds.most = 80;
     const auto stockOf = [](size_t domains) {
@@ -80,29 +81,30 @@
     for (const DomainPlan &domain : planEngines(bounds, Capacity, question, stockOf(4)))
         CHECK(domain.reclaimable == 30); // 90 / 3
     for (const DomainPlan &domain : planEngines(bounds, Capacity, question, stockOf(1)))
-        CHECK(domain.reclaimable == 80); // The most there may be.
+        CHECK(domain.reclaimable == 80); // The max per domain.
 }
 
-TEST_CASE("engines on demand stay until the cheap ones carry the demand")
+TEST_CASE("on-demand engines stay until the reclaimable ones carry the demand")
 {
-    // Ordering the cheap ones takes seconds to bear fruit. Dropping those that serve before that would leave
-    // callers without engines.
+    // Reclaimable engines take seconds to start. Stopping the serving ones before that would leave callers
+    // without engines.
     SizingQuestion question = questionFor(90'000, 20);
     CHECK(sumOnDemand(planEngines(makeBounds(0.2), Capacity, question, makeStock(3, 0))) >= 5);
     CHECK(sumOnDemand(planEngines(makeBounds(0.2), Capacity, question, makeStock(3, 3))) == 0);
 }
 
-TEST_CASE("engines on demand that are needed stay in their domains, whatever these cost")
+TEST_CASE("on-demand engines that are needed stay in their domains, whatever the price")
 {
-    // All engines are on demand, as after a roll-out, and the cheap ones are still to come. Ordered in the
-    // cheapest domain alone, those of the others would be stopped seconds before more have started there.
+    // All engines are on demand, as after a roll-out, and the reclaimable ones have not started. If on-demand
+    // engines were ordered in the cheapest domain alone, those of the other domains would be stopped seconds
+    // before replacements have started.
     const std::vector<DomainPlan> plan
         = planEngines(makeBounds(0.2), Capacity, questionFor(160'000, 20), makeStock(3, 0));
     for (const DomainPlan &domain : plan)
         CHECK(domain.onDemand == 3);
 }
 
-TEST_CASE("without demand it is enough that the cheap ones were accepted")
+TEST_CASE("without demand, on-demand engines are stopped once orders for reclaimable ones were accepted")
 {
     std::map<FailureDomainName, DomainStock> stock = makeStock(3, 0);
     for (std::pair<const FailureDomainName, DomainStock> &entry : stock)
@@ -110,34 +112,36 @@
     CHECK(sumOnDemand(planEngines(makeBounds(0.2), Capacity, questionFor(0, 0), stock)) == 0);
 }
 
-TEST_CASE("what one failure domain can't give is ordered in the others")
+TEST_CASE("engines unavailable in one failure domain are ordered in the others")
 {
     std::map<FailureDomainName, DomainStock> stock = makeStock(0, 2);
     stock[{"north"}] = {0, 0, 0, true, 0, 0};
     const std::vector<DomainPlan> plan
         = planEngines(makeBounds(0.2), Capacity, questionFor(60'000, 10), stock);
     CHECK(plan[1].reclaimable + plan[2].reclaimable >= 6);
-    // The short one gets its least on demand, as the platform sees to anyway, and nothing else is.
+    // The domain in shortage gets its minimum on demand, which the platform starts anyway, and no other
+    // on-demand engine is ordered.
     CHECK(plan[0].onDemand == 1);
     CHECK(sumOnDemand(plan) == 1);
 }
 
-TEST_CASE("where cheap engines are scarce, engines on demand make up for the next reclaim")
+TEST_CASE("when reclaimable engines are scarce, on-demand engines make up for the next reclaim")
 {
-    // One failure domain was reclaimed and none is to be had anywhere. The next reclaim would leave half of
-    // what is there: the rest is ordered before it comes, in the cheapest domain first.
+    // One failure domain was reclaimed and no domain has reclaimable engines available. The next reclaim
+    // would leave half of the engines: the missing ones are ordered on demand beforehand, in the cheapest
+    // domain first.
     std::map<FailureDomainName, DomainStock> stock = makeStock(0, 3);
     stock[{"north"}] = {0, 0, 0, true, 0, 0};
     SizingQuestion question = questionFor(120'000, 20);
     question.scarce = true;
     const std::vector<DomainPlan> plan = planEngines(makeBounds(0.2), Capacity, question, stock);
     CHECK(sumOnDemand(plan) >= 2);
-    // The least of the short domain counts; the rest is where it is cheapest.
+    // The minimum of the domain in shortage counts; the rest is in the cheapest domain.
     CHECK(plan[0].onDemand == 1);
     CHECK(plan[1].onDemand == sumOnDemand(plan) - 1);
 }
 
-TEST_CASE("without cheap engines all are on demand")
+TEST_CASE("without cheaper reclaimable engines all are on demand")
 {
     const std::vector<DomainPlan> plan
         = planEngines(makeBounds(1), Capacity, questionFor(90'000, 20), makeStock(3, 0));
@@ -145,7 +149,7 @@
     CHECK(sumOnDemand(plan) == 5);
 }
 
-TEST_CASE("what was found at the start counts until the demand is known")
+TEST_CASE("the engines found at the start are kept until the demand is known")
 {
     SizingQuestion question = questionFor(0, 0);
     question.known = 12;
@@ -154,7 +158,7 @@
 
 namespace {
 
-/// Sizing of one service in two failure domains, with a fleet that a test writes by hand.
+/// Sizing of one service in two failure domains, with a fleet that the test lists.
 struct SizingFixture {
     explicit SizingFixture(bool firstStart) : sizing(firstStart, log)
     {
@@ -182,7 +186,7 @@
         }
     }
 
-    // Runs for `time` and answers all orders with Done, if `answers`.
+    // Runs for `time` and replies Done to all orders if `answers`.
     void run(DurationMs time, bool answers)
     {
         for (const TimeMs until = now + time; now < until; now = now + DurationMs{100}) {
@@ -198,7 +202,7 @@
         }
     }
 
-    // The newest count ordered in "north", or nothing.
+    // Returns the newest count ordered in "north", or nothing.
     std::optional<uint32_t> ordered(bool reclaimable) const
     {
         std::optional<uint32_t> count;
@@ -222,13 +226,13 @@
 
 } // namespace
 
-TEST_CASE("an order without reply is said again, one that is in force is not")
+TEST_CASE("an order without reply is resent, a confirmed one is not")
 {
     SizingFixture fixture(false);
     fixture.list(3, 0);
     fixture.run({4500}, false);
     fixture.run({2500}, true);
-    // Two failure domains, two kinds: each said again while there was no reply, then once more.
+    // Two failure domains and two kinds: each order is resent while there is no reply, then once more.
     CHECK(fixture.orders.size() >= 8);
     CHECK(fixture.orders.size() <= 16);
     const size_t before = fixture.orders.size();
@@ -240,10 +244,10 @@
     CHECK(fixture.orders.size() == before);
 }
 
-TEST_CASE("engines that were not ordered are told to stop within two seconds")
+TEST_CASE("engines that were not ordered get a stop order within two seconds")
 {
-    // The platform starts engines on demand by itself where a domain falls below its least, and goes on with
-    // them when the reclaimable ones are back. Each costs as much as five of those.
+    // The platform starts on-demand engines by itself where a domain falls below its minimum, and keeps them
+    // when the reclaimable ones are back. Each costs as much as five reclaimable ones.
     SizingFixture fixture(false);
     fixture.list(0, 3);
     fixture.run({6000}, true);
@@ -254,21 +258,22 @@
     CHECK(fixture.ordered(false) == 0);
 }
 
-TEST_CASE("at the first start engines on demand go as soon as the cheap ones were accepted")
+TEST_CASE("at the first start on-demand engines are stopped once orders for reclaimable ones were accepted")
 {
-    // Nothing has run yet, so the count of what was found is not worth the bill: on demand 9 engines cost in
-    // 3 s what 9 cheap ones cost in 15 s. Half of the most that the operators state comes instead.
+    // No request has run yet, so waiting for the count of found engines costs more than it saves: 9 on-demand
+    // engines cost in 3 s what 9 reclaimable ones cost in 15 s. Half of the max per domain is ordered as
+    // reclaimable engines instead.
     SizingFixture fixture(true);
     fixture.list(3, 0);
     fixture.run({300}, true);
     CHECK(fixture.ordered(true) == 3);
     CHECK(fixture.ordered(false) == 0);
-    // A start that isn't the first one waits until it knows what there is.
+    // A daemon that becomes leader at a later start waits until it has found the engines.
     SizingFixture later(false);
     later.list(3, 0);
     later.run({300}, true);
     CHECK(later.ordered(false) == std::nullopt);
-    // Where none are accepted, those on demand stay.
+    // If no order is accepted, the on-demand engines stay.
     SizingFixture refused(true);
     refused.list(3, 0);
     refused.run({300}, false);
@@ -277,14 +282,15 @@
 
 namespace {
 
-// Demand as daemons report it: requests of `tokens` each, `perSecond` of them, first event wanted in
-// `targetMs`; readings of engines that take `baseMs` and read `tokensPerMs`.
+// Demand as daemons report it: `perSecond` requests of `tokens` each, with a time-to-first-event target of
+// `targetMs`, and prefill samples of engines that take `baseMs` and prefill `tokensPerMs`.
 ServiceDemand demandOf(double perSecond, double tokens, double targetMs, double tokensPerMs, double baseMs)
 {
     ServiceDemand demand;
     demand.requestsPerSecond = perSecond;
     demand.prefillTokensPerSecond = perSecond * tokens;
-    demand.prefillSquaresPerSecond = perSecond * tokens * tokens * 2; // As uneven as exponential ones.
+    // As for exponentially distributed sizes.
+    demand.prefillSquaresPerSecond = perSecond * tokens * tokens * 2;
     demand.targetMsPerSecond = perSecond * targetMs;
     for (const double part : {0.2, 0.5, 1.0, 2.0, 3.0}) {
         const double size = tokens * part;
@@ -296,20 +302,20 @@
 
 } // namespace
 
-TEST_CASE("the reading speed is learned from first events")
+TEST_CASE("the prefill speed is fitted from the times to first events")
 {
     const ServiceDemand demand = demandOf(60, 5000, 600, 45, 40);
     const ReadingSpeed speed = readingSpeed(demand.readings);
     CHECK(speed.tokensPerMs == doctest::Approx(45).epsilon(0.01));
     CHECK(speed.baseMs == doctest::Approx(40).epsilon(0.01));
-    // Too few, or all alike: the usual figures.
+    // Too few samples, or all of one size: the defaults.
     CHECK(readingSpeed({}).tokensPerMs == 45);
     ReadingSums alike;
     alike.add({100, 100'000, 5000, 1e8, 5e6});
     CHECK(readingSpeed(alike).tokensPerMs == 45);
 }
 
-TEST_CASE("an engine carries what its speed, its prompts and callers' targets allow")
+TEST_CASE("engine capacity depends on prefill speed, prompt sizes and latency targets")
 {
     const EngineFigures engine;
     const double usual = engineCapacity(engine, demandOf(60, 5000, 600, 45, 40)).tokensPerSecond;
@@ -317,7 +323,7 @@
     CHECK(engineCapacity(engine, demandOf(60, 5000, 300, 45, 40)).tokensPerSecond < 0.8 * usual);
     CHECK(engineCapacity(engine, demandOf(60, 20000, 600, 45, 40)).tokensPerSecond < 0.6 * usual);
     CHECK(engineCapacity(engine, demandOf(60, 5000, 50, 45, 40)).tokensPerSecond > 0);
-    // Small batches fill unevenly: less of each is planned with.
+    // Small batches vary more in relative size, so less of each is planned.
     EngineFigures small;
     small.slots = 12;
     CHECK(engineCapacity(engine, {}).running == doctest::Approx(49.9).epsilon(0.01));
@@ -326,8 +332,9 @@
 
 TEST_CASE("engines of a version that is being rolled out are neither counted nor stopped until it is decided")
 {
-    // A new version's engines come beside the others, on demand. The holder's order of none on demand, said
-    // again since more are there, stopped all of them after half a second: nothing was ever rolled out.
+    // Guards against stopping the engines of a new version, which run on demand beside the others. The
+    // leader's order for no on-demand engine was resent since more were running, and stopped all of them
+    // after half a second: no roll-out ever succeeded.
     SizingFixture fixture(false);
     fixture.list(0, 3);
     fixture.run({10'000}, true);
@@ -353,7 +360,7 @@
     for (EndpointEntry &entry : fixture.read.entries)
         entry.version.value = entry.reclaimable ? "v1" : "v2";
     fixture.run({15'000}, true);
-    // Nor those that are not listed yet.
+    // Engines that are not listed yet are not stopped either.
     CHECK_FALSE(fixture.ordered(false));
     CHECK(fixture.ordered(true).value_or(3) <= 3);
     record.stage = RolloutStage::RolledBack;
@@ -365,12 +372,12 @@
     CHECK(fixture.ordered(false) == 0);
 }
 
-TEST_CASE("once a shortage has taken most domains, engines on demand are there for more than the usual need")
+TEST_CASE("once most domains are lost in a shortage, on-demand engines cover more than the usual need")
 {
-    // Domain after domain is reclaimed and none can be had: with engines on demand for the tight part of the
-    // usual need the few that are left read again what lay at sixty, and one request in three was in time for
-    // a quarter of a minute. A quiet day of 60 engines with four reclaims: 0.69 of its credit before, 0.86
-    // after, for a twentieth more of what engines cost.
+    // Domain after domain is reclaimed with no replacement available. With on-demand engines for the reduced
+    // need only, the few remaining engines prefilled again what sixty had cached, and one request in three
+    // was in time for 15 s. A quiet day of 60 engines with four reclaims got 0.69 of its credit before the
+    // change and 0.86 after, for a twentieth more engine cost.
     ScalingBounds bounds = makeBounds(0.2);
     bounds.most = 30;
     bounds.prices[{"east"}] = 0.9;
@@ -383,7 +390,8 @@
             stock[{name}] = {0, domain++ < lost ? 0U : 15U, 0, true, 0, 0};
         return sumOnDemand(planEngines(bounds, Capacity, question, stock));
     };
-    // One domain lost: the rest bears the next reclaim; only the lost one's own least is ordered.
+    // One domain lost: the other engines can bear the next reclaim, so only the minimum of the lost domain is
+    // ordered.
     CHECK(onDemandAfter(1) == 1);
     CHECK(onDemandAfter(2) == 2);
     CHECK(onDemandAfter(3) == 28);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -594,7 +594,7 @@
         request(Model);
         broken(lastSent().attempt);
     }
-    // 0.75 x (0.2 x 10 requests + 0.8 x 40 / 9 daemons)
+    // 0.85 x (0.2 x 10 requests + 0.8 x 40 / 9 daemons)
     CHECK(gateway.counters().of(GatewayRetry::Broken) == 4);
     members[0].cores = 0.1;
     members[0].serving = false;
@@ -604,7 +604,7 @@
         request(Model);
         broken(lastSent().attempt);
     }
-    // 0.75 x 0.2 x 20 requests; the four retries above count, too
+    // 0.85 x 0.2 x 20 requests; the four retries above count, too
     CHECK(gateway.counters().of(GatewayRetry::Broken) == 4);
 }
 
--- a/tests/gatewaymoves_test.cpp
+++ b/tests/gatewaymoves_test.cpp
@@ -7,7 +7,7 @@
 constexpr const char *Model = "/review/1";
 constexpr const char *PlainStream = "/draft/1";
 
-/// A stream in full flow on an engine whose failure domain is taken back in two seconds.
+/// A stream in progress on an engine whose failure domain is reclaimed in two seconds.
 struct LeavingStream {
     CallerId caller;
     AttemptId attempt;
@@ -42,9 +42,8 @@
 
 TEST_CASE_FIXTURE(GatewayFixture, "a stream that can't be resumed survives the reclaim of its engine")
 {
-    // The engine's failure domain is taken back; the stream would last longer than the notice. Its run is
-    // stopped and its memory copied to another engine, where the same run goes on. The caller sees one whole
-    // stream.
+    // The failure domain is reclaimed before the stream would end. The generation is stopped, its KV cache is
+    // copied to another engine, and the generation continues there. The caller receives one complete stream.
     const LeavingStream stream = startLeavingStream(*this, PlainStream);
     REQUIRE(moves.size() == 1);
     CHECK(moves[0].attempt == stream.attempt);
@@ -64,11 +63,11 @@
     CHECK(streamEnds[stream.caller]);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "requests that were refused still allow streams to be moved")
+TEST_CASE_FIXTURE(GatewayFixture, "refused requests still count towards the retry budget for migrations")
 {
-    // The store was away, and all keys were refused for seconds. Then an engine with many streams is
-    // reclaimed. What may be sent again is measured by what callers sent; if only served requests counted,
-    // most of the streams would be cut.
+    // The store was unreachable and all keys were refused for seconds; then an engine with many streams is
+    // reclaimed. The retry budget is based on the requests received: if only served requests counted, most of
+    // the streams would be cut off.
     configuration->services[0].engine->movesRuns = true;
     GatewaySettings bounds;
     bounds.repeats = {0.2, 8, {10000}};
@@ -102,7 +101,7 @@
     CHECK(moves.size() == running);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "the last events of a moved run may come after its memory has arrived")
+TEST_CASE_FIXTURE(GatewayFixture, "the last events of a migrated generation may arrive after its KV cache")
 {
     const LeavingStream stream = startLeavingStream(*this, PlainStream);
     gateway.onRunMoved({stream.attempt, MoveOutcome::Moved, "h1"}, now);
@@ -114,10 +113,11 @@
     CHECK(lastSent().resumeAfter == 6);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a move without reply loses a stream that has stopped, and no other")
+TEST_CASE_FIXTURE(GatewayFixture, "a migration without reply loses only a stream that has stopped")
 {
-    // The reply to the move is lost. If the stream goes on, nothing has happened. If it has ended, the run
-    // has stopped and its memory can't be named: the caller sees a broken stream, and nothing runs twice.
+    // The reply to the migration is lost. If the stream continues, nothing has happened. If it has ended, the
+    // generation has stopped and its KV cache cannot be located: the caller receives a broken stream, and the
+    // request does not run twice.
     const LeavingStream going = startLeavingStream(*this, PlainStream);
     gateway.onRunMoved({going.attempt, MoveOutcome::NoReply, {}}, now);
     events(going.attempt, 4, 5);
@@ -135,8 +135,8 @@
 
 TEST_CASE_FIXTURE(GatewayFixture, "a reclaim during an outage of the store is learned from the engine")
 {
-    // The store is down when a failure domain gets its notice, so the list stays as it was. The stream's
-    // engine is asked for its state, says that it leaves, and the stream is moved in time.
+    // The store is down when the reclaim notice arrives, so the endpoint list does not change. The engine of
+    // the stream is probed, reports that it leaves, and the stream is migrated in time.
     configuration->services[0].engine->movesRuns = true;
     CallerRequest request = makeRequest(PlainStream);
     request.outputTokens = 600;
@@ -161,8 +161,8 @@
 TEST_CASE_FIXTURE(GatewayFixture,
                   "a resumable request that waits at a leaving engine is sent elsewhere in time")
 {
-    // The engine's queue is long, its notice short. A request that can be resumed leaves before the engine
-    // does; one that can't may just have begun, and stays.
+    // The engine has a long queue and a short notice. A resumable request is sent elsewhere before the engine
+    // leaves; a request that cannot be resumed may just have started, and stays.
     const CallerId resumable = request(Model);
     const EndpointId first = lastSent().endpoint;
     for (EndpointEntry &entry : endpoints) {
@@ -181,7 +181,7 @@
     CHECK(streamEnds[resumable]);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a move that finds no room tries another engine")
+TEST_CASE_FIXTURE(GatewayFixture, "a migration rejected for lack of capacity tries another engine")
 {
     const LeavingStream stream = startLeavingStream(*this, PlainStream);
     gateway.onRunMoved({stream.attempt, MoveOutcome::NoRoom, "h1"}, now);
@@ -191,10 +191,11 @@
     CHECK(moves[1].target != moves[0].target);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a moved run that its target does not take is not run anew")
+TEST_CASE_FIXTURE(GatewayFixture, "a migrated generation rejected by its target is not started again")
 {
-    // The run was stopped and its memory copied. At the target's address another instance answers that it did
-    // not run the request. But the request has run, at the source: sent to a third engine it would run twice.
+    // The generation was stopped and its KV cache copied. At the address of the target another instance
+    // answers that it did not run the request. But the request has run at the source: sent to a third engine,
+    // it would run twice.
     const LeavingStream stream = startLeavingStream(*this, PlainStream);
     broken(stream.attempt);
     gateway.onRunMoved({stream.attempt, MoveOutcome::Moved, "h1"}, now);
@@ -211,9 +212,9 @@
     CHECK_FALSE(streamEnds[stream.caller]);
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "a stream that ends in time stays where it is")
+TEST_CASE_FIXTURE(GatewayFixture, "a stream that ends before its engine leaves is not migrated")
 {
-    // Four events are left at 20 ms each; the engine serves for two seconds more.
+    // Four events remain at 20 ms each; the engine serves for two more seconds.
     configuration->services[0].engine->movesRuns = true;
     CallerRequest request = makeRequest(PlainStream);
     request.outputTokens = 30;
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,4 +1,4 @@
-// Roll-outs: records, the rule by which requests go to versions, and the holder's stages.
+// Roll-outs: records, the rule that assigns requests to versions, and the stages of the leader.
 
 #include "fakestore.h"
 #include "gateway/rollout/rolloutcontroller.h"
@@ -52,7 +52,7 @@
     return view;
 }
 
-/// The holder's part against a store, with facts that the test sets.
+/// Runs the roll-out controller against a store, with observations set by the test.
 class DutyBench
 {
 public:
@@ -105,7 +105,7 @@
 
 } // namespace
 
-TEST_CASE("a record survives its way through the store, and text that is none is refused")
+TEST_CASE("a record survives encoding and decoding, and invalid text is refused")
 {
     const RolloutRecord record = makeRecord(RolloutStage::Moving);
     CHECK(recordFromText(modelService, recordText(record)) == record);
@@ -115,25 +115,25 @@
         CHECK_FALSE(recordFromText(modelService, wrong));
 }
 
-TEST_CASE("a roll-out never goes back, also when the store came back older")
+TEST_CASE("a roll-out never goes back to an earlier stage, even if an older store was restored")
 {
-    // The verdict was written after the copy was made; the copy still says that the trial runs. Gone back to
-    // it, requests would be sent to a version that is known to be bad.
+    // Guards against sending requests to a version known to be bad: the rollback was written after the copy
+    // of the store was made, and the restored copy still has the trial in progress.
     const RolloutRecord rolledBack = makeRecord(RolloutStage::RolledBack);
     const RolloutRecord older = makeRecord(RolloutStage::Trial);
     CHECK(furtherRecord(older, rolledBack).stage == RolloutStage::RolledBack);
     CHECK(furtherRecord(rolledBack, older).stage == RolloutStage::RolledBack);
-    // The operators wrote the order again, in the next era, at another revision.
+    // The operators wrote the order again in the next era, with another revision.
     const RolloutRecord again = makeRecord(RolloutStage::Trial, 7, 2);
     CHECK(furtherRecord(rolledBack, again).stage == RolloutStage::RolledBack);
     CHECK(furtherRecord(rolledBack, again).order == 7);
     CHECK(isOf(rolledBack, makeOrder(newVersion, 7), 2));
-    // In the same era another revision is another order, of the same version perhaps.
+    // In the same era another revision is another order, possibly of the same version.
     CHECK_FALSE(isOf(rolledBack, makeOrder(newVersion, 12), 1));
     CHECK(furtherRecord(rolledBack, makeRecord(RolloutStage::Trial, 12)).stage == RolloutStage::Trial);
 }
 
-TEST_CASE("which versions requests go to, stage by stage")
+TEST_CASE("the routing rule of each stage")
 {
     const auto ruleIn = [](RolloutStage stage, int64_t wallMs = WallOffset) {
         return makeView({makeOrder(newVersion)}, makeRecord(stage)).rule(modelService, wallMs);
@@ -154,10 +154,10 @@
     CHECK(makeView({makeOrder(newVersion)}, bad).rule(modelService, WallOffset).barred.contains(newVersion));
 }
 
-TEST_CASE("an order that no record answers yet, and a version listed after the orders were read, wait")
+TEST_CASE("a target without a record, and a version listed after the orders were read, get no requests")
 {
-    // Engines of the new version register within half a second of the order. Until the first record is there,
-    // they would take their part of all requests.
+    // Engines of the new version register within half a second of the order. Without this rule they would
+    // take their full share of all requests until the first record arrives.
     CHECK(makeView({makeOrder(newVersion)}, std::nullopt)
               .rule(modelService, WallOffset)
               .barred.contains(newVersion));
@@ -167,7 +167,7 @@
     CHECK(view.rule(modelService, WallOffset).barred == std::set<SoftwareVersion>{newVersion});
     view.take({}, {1600});
     CHECK(view.rule(modelService, WallOffset).barred.empty());
-    // Alone, it is what there is.
+    // A version that is the only one gets all requests.
     RolloutView alone = makeView({}, std::nullopt);
     alone.noteListed(modelService, newVersion, {1500});
     CHECK(alone.rule(modelService, WallOffset).barred.empty());
@@ -188,7 +188,7 @@
     CHECK(view.rule(modelService, WallOffset).target == SoftwareVersion{"v3"});
 }
 
-TEST_CASE("a good version goes through all stages in the order's time, and nothing is cut")
+TEST_CASE("a good version passes all stages in the ordered duration, and no request is cut off")
 {
     DutyBench bench;
     bench.pass({1000});
@@ -199,7 +199,7 @@
     CHECK(bench.stage() == RolloutStage::Trial);
     bench.pass({11'500});
     CHECK(bench.stage() == RolloutStage::Emptying);
-    // Streams still run at the others: the order's time is over, and they are not cut off for that.
+    // Streams still run on the other version: they are not cut off when the ordered duration is over.
     bench.pass({8000});
     CHECK(bench.stage() == RolloutStage::Emptying);
     bench.facts[modelService].runningElsewhere = 0;
@@ -209,7 +209,7 @@
     CHECK(bench.told.back() == RolloutStage::Completed);
 }
 
-TEST_CASE("a bad version is rolled back in any stage, and its part of the requests stays within the bounds")
+TEST_CASE("a bad version is rolled back in any stage, and its share of the requests stays within the bounds")
 {
     for (const DurationMs at : {DurationMs{3000}, DurationMs{8000}, DurationMs{11'000}, DurationMs{14'000}}) {
         CAPTURE(at.count);
@@ -229,13 +229,13 @@
     }
 }
 
-TEST_CASE("a target that never comes up, or shows too little, is rolled back")
+TEST_CASE("a target that never starts, or gives too few answers, is rolled back")
 {
     DutyBench none;
     none.pass({17'000});
     CHECK(none.stage() == RolloutStage::RolledBack);
-    // Fewer endpoints than the others have can't carry what they do: fifteen of sixty answered in time what
-    // they were given on trial, and were overloaded with all of it.
+    // A target with fewer endpoints cannot carry the load of the others: fifteen of sixty answered their
+    // trial requests in time, and were overloaded by the full load.
     DutyBench few;
     few.facts[modelService].targetEndpoints = 15;
     few.facts[modelService].isProven = true;
@@ -250,7 +250,7 @@
     CHECK(silent.stage() == RolloutStage::RolledBack);
 }
 
-TEST_CASE("another order ends the one before it, whose target gets nothing any more")
+TEST_CASE("a new order supersedes the one before it, whose target gets no more requests")
 {
     DutyBench bench;
     bench.facts[modelService].targetEndpoints = 60;
@@ -263,9 +263,9 @@
     CHECK(bench.rollouts.known.records.at(modelService).barred.contains(newVersion));
 }
 
-TEST_CASE("an older store's order is not taken up before the operators could write theirs again")
+TEST_CASE("an order from a restored older store waits until operators could rewrite theirs")
 {
-    // The store came back from before the order for v2 was overtaken by one for v3.
+    // The store was restored to a state before the order for v2 was superseded by one for v3.
     DutyBench bench;
     RolloutRecord present = makeRecord(RolloutStage::Trial, 30);
     present.target = {"v3"};
@@ -280,9 +280,10 @@
     CHECK(bench.rollouts.known.records.at(modelService).era == 2);
 }
 
-TEST_CASE("a holder that lost the duties writes no verdict, and its successor does")
+TEST_CASE("a leader that lost leadership writes no decision, and its successor does")
 {
-    // The holder is frozen, another one wins, and it wakes up with a verdict: its write must not be done.
+    // A leader is paused, another daemon becomes leader, and the first one resumes with an evaluation: its
+    // write must be rejected.
     DutyBench bench;
     bench.facts[modelService].targetEndpoints = 60;
     bench.pass({3000});
@@ -292,7 +293,7 @@
     bench.facts[modelService].isBad = true;
     bench.pass({3000});
     CHECK(bench.rollouts.known.records.at(modelService) == before);
-    bench.leadership.stands = {StoreSpace::Shared, "another-holder", 0}; // Holds.
+    bench.leadership.stands = {StoreSpace::Shared, "another-holder", 0}; // This condition holds.
     bench.pass({1000});
     CHECK(bench.stage() == RolloutStage::RolledBack);
 }
@@ -306,7 +307,7 @@
     CHECK(bench.log.count("rollout_refused") == 1);
 }
 
-TEST_CASE("with few requests an hour a trial still ends")
+TEST_CASE("a trial ends even with few requests per hour")
 {
     DutyBench bench;
     bench.facts[modelService].requestsPerSecond = 0.1;
--- a/tests/versionevaluator_test.cpp
+++ b/tests/versionevaluator_test.cpp
@@ -1,5 +1,5 @@
-// Judging a version under trial: how soon a bad one is found, and how often a good one is taken for bad,
-// while endpoints crash, fail by themselves and are overloaded. Two ways are compared.
+// Evaluation of a version on trial: how soon a bad version is found, and how often a good one is found bad,
+// while endpoints crash, fail by themselves or are overloaded. Compares two methods.
 
 #include "common/random.h"
 #include "gateway/rollout/versionevaluator.h"
@@ -18,25 +18,25 @@
 constexpr int Seeds = 400;
 constexpr double TrialSeconds = 8;
 
-/// What goes on besides the version itself, at all versions alike.
+/// Conditions that affect all versions alike.
 struct Conditions {
     const char *name = "";
-    double usualBad = 0.02; ///< Part of the answers.
-    double crashesPerSecond = 0; ///< Of each endpoint: all that it has, four requests, fails.
-    double greyPart = 0; ///< Of the endpoints: four in ten of their answers fail.
-    double overloadFrom = 1e9; ///< From this second on a third of all answers is slow.
+    double usualBad = 0.02; ///< Share of bad answers.
+    double crashesPerSecond = 0; ///< Crash rate of each endpoint; a crash fails its four running requests.
+    double greyPart = 0; ///< Share of endpoints that fail four in ten answers.
+    double overloadFrom = 1e9; ///< Second from which a third of all answers is slow.
 };
 
-/// How the version under trial differs.
+/// Fault of the version on trial.
 struct Fault {
     const char *name = "";
-    double part = 0; ///< Of its answers that are bad besides.
+    double part = 0; ///< Additional share of bad answers.
     double fromSecond = 0;
     bool onOneRoute = false;
 };
 
-/// A bad part that is larger by a sixth than that of the others, over the last three seconds, from twenty
-/// answers on: the simplest thing that could work.
+/// The simplest alternative: alarms if over the last three seconds the share of bad answers exceeds that of
+/// the other versions by a sixth, from twenty answers on.
 class ThresholdJudge
 {
 public:
@@ -63,7 +63,8 @@
     bool isBad_ = false;
 };
 
-/// Six endpoints of the target take a twentieth of 156 requests a second on three routes.
+/// Simulates a trial in which six target endpoints take a twentieth of 156 requests per second on three
+/// routes; returns the seconds from the fault to the alarm.
 template <typename Judge>
 std::optional<double> secondsUntilBad(const Conditions &conditions, const Fault &fault, uint64_t seed)
 {
@@ -113,8 +114,8 @@
 }
 
 struct Result {
-    int found = 0; ///< Of a hundred.
-    double seconds = 0; ///< In the mean, where it was found.
+    int found = 0; ///< Trials with an alarm, in percent.
+    double seconds = 0; ///< Mean time until the alarm.
 };
 
 template <typename Judge>
@@ -140,13 +141,13 @@
 
 } // namespace
 
-TEST_CASE("a good version is rarely taken for bad, whatever goes on besides")
+TEST_CASE("a good version is rarely found bad, whatever the conditions")
 {
     for (const Conditions &conditions : AllConditions) {
         CAPTURE(conditions.name);
         const Result sequential = play<VersionJudge>(conditions, {});
         const Result threshold = play<ThresholdJudge>(conditions, {});
-        MESSAGE(fmt::format("good, {}: taken for bad in 100: sequential {}, threshold {}", conditions.name,
+        MESSAGE(fmt::format("good, {}: found bad in 100: sequential {}, threshold {}", conditions.name,
                             sequential.found, threshold.found));
         CHECK(sequential.found <= 6);
     }
@@ -186,7 +187,7 @@
     CHECK(judge.isProven());
 }
 
-TEST_CASE("counts that fall, since a daemon is gone, are no news")
+TEST_CASE("counts that fall because a daemon left are skipped")
 {
     VersionJudge judge;
     const auto take = [&judge](uint64_t answers, uint64_t bad) {
@@ -198,10 +199,10 @@
     CHECK(judge.figures().answers == 120);
 }
 
-TEST_CASE("a version that is clearly worse is not proven, though no alarm was raised")
+TEST_CASE("a clearly worse version is not proven, even without an alarm")
 {
-    // The others are overloaded, the target has a few endpoints, and one of them is left out: the alarm stays
-    // below its bound. A third of what the version answered was slow all the same.
+    // The other versions are overloaded, the target has few endpoints, and one group of them is left out: the
+    // score stays below its threshold. Still a third of the answers of the version were slow.
     VersionJudge judge;
     judge.take({{{"s"}, {"v2"}, "a", 1, 45, 16}, {{"s"}, {"v2"}, "a", TrialCount::Others, 1000, 80}});
     CHECK_FALSE(judge.isProven());
