--- a/src/common/fields.cpp
+++ b/src/common/fields.cpp
@@ -40,7 +40,7 @@
     error_ = {pathOf(name), std::move(message)};
 }
 
-void FieldReader::adopt(const FieldError &error)
+void FieldReader::setError(const FieldError &error)
 {
     if (failed_)
         return;
@@ -74,16 +74,16 @@
         optional(name, out);
 }
 
-void FieldReader::required(const char *name, uint32_t &out, uint32_t least, uint32_t most)
+void FieldReader::required(const char *name, uint32_t &out, uint32_t minimum, uint32_t maximum)
 {
     if (find(name, true))
-        optional(name, out, least, most);
+        optional(name, out, minimum, maximum);
 }
 
-void FieldReader::required(const char *name, double &out, double least, double most)
+void FieldReader::required(const char *name, double &out, double minimum, double maximum)
 {
     if (find(name, true))
-        optional(name, out, least, most);
+        optional(name, out, minimum, maximum);
 }
 
 void FieldReader::optional(const char *name, bool &out)
@@ -125,16 +125,16 @@
     out.count = static_cast<int64_t>(count);
 }
 
-void FieldReader::optional(const char *name, uint32_t &out, uint32_t least, uint32_t most)
+void FieldReader::optional(const char *name, uint32_t &out, uint32_t minimum, uint32_t maximum)
 {
     double count = out;
-    optional(name, count, least, most);
+    optional(name, count, minimum, maximum);
     if (!failed_ && count != static_cast<double>(static_cast<uint32_t>(count)))
         return fail(name, "must be a whole number");
     out = static_cast<uint32_t>(count);
 }
 
-void FieldReader::optional(const char *name, int64_t &out, int64_t least, int64_t most)
+void FieldReader::optional(const char *name, int64_t &out, int64_t minimum, int64_t maximum)
 {
     const json::value *value = find(name, false);
     if (!value)
@@ -142,12 +142,12 @@
     const std::optional<int64_t> number = wholeNumber<int64_t>(value);
     if (!number)
         return fail(name, "must be a whole number");
-    if (*number < least || *number > most)
-        return fail(name, fmt::format("must be from {} to {}", least, most));
+    if (*number < minimum || *number > maximum)
+        return fail(name, fmt::format("must be from {} to {}", minimum, maximum));
     out = *number;
 }
 
-void FieldReader::optional(const char *name, double &out, double least, double most)
+void FieldReader::optional(const char *name, double &out, double minimum, double maximum)
 {
     const json::value *value = find(name, false);
     if (!value)
@@ -155,8 +155,8 @@
     if (!value->is_number())
         return fail(name, "must be a number");
     const double number = value->to_number<double>();
-    if (number < least || number > most)
-        return fail(name, fmt::format("must be from {} to {}", least, most));
+    if (number < minimum || number > maximum)
+        return fail(name, fmt::format("must be from {} to {}", minimum, maximum));
     out = number;
 }
 
--- a/src/common/fields.h
+++ b/src/common/fields.h
@@ -36,22 +36,22 @@
     {
         required(name, out.value);
     }
-    void required(const char *name, uint32_t &out, uint32_t least, uint32_t most);
-    void required(const char *name, double &out, double least, double most);
+    void required(const char *name, uint32_t &out, uint32_t minimum, uint32_t maximum);
+    void required(const char *name, double &out, double minimum, double maximum);
     void optional(const char *name, bool &out);
     void optional(const char *name, std::string &out);
     void optional(const char *name, Address &out);
     void optional(const char *name, DurationMs &out); ///< Milliseconds, from 1 to a day.
-    void optional(const char *name, uint32_t &out, uint32_t least, uint32_t most);
-    void optional(const char *name, int64_t &out, int64_t least, int64_t most);
-    void optional(const char *name, double &out, double least, double most);
+    void optional(const char *name, uint32_t &out, uint32_t minimum, uint32_t maximum);
+    void optional(const char *name, int64_t &out, int64_t minimum, int64_t maximum);
+    void optional(const char *name, double &out, double minimum, double maximum);
 
     /// Array elements with their paths; empty if the field is absent and not required.
     std::vector<std::pair<const boost::json::value *, std::string>> elements(const char *name,
                                                                              bool isRequired);
 
     void fail(const std::string &name, std::string message); ///< Reports a semantic error in field `name`.
-    void adopt(const FieldError &error); ///< Takes over an error from a nested object.
+    void setError(const FieldError &error); ///< Takes over an error from a nested object.
     void markKnown(const char *name) { known_.insert(name); } ///< For a field that other code reads.
     bool ok() const { return !failed_; }
     const std::string &path() const { return path_; }
--- a/src/daemon/configuration.cpp
+++ b/src/daemon/configuration.cpp
@@ -21,7 +21,7 @@
     reader.optional("slots", endpoint.slots, 1, 65536);
     reader.optional("checksFencing", endpoint.checksFencing);
     if (const FieldError *error = reader.finish())
-        parent.adopt(*error);
+        parent.setError(*error);
     return endpoint;
 }
 
@@ -48,14 +48,14 @@
         if (element.first->is_string())
             service.dependsOn.push_back({std::string(element.first->as_string())});
         else
-            reader.adopt({element.second, "must be a string"});
+            reader.setError({element.second, "must be a string"});
     }
     for (const std::pair<const json::value *, std::string> &element : reader.elements("endpoints", true))
         service.endpoints.push_back(parseEndpoint(reader, *element.first, element.second));
     if (reader.ok())
         service.kind = kindFrom(reader, kind);
     if (const FieldError *error = reader.finish())
-        parent.adopt(*error);
+        parent.setError(*error);
     return service;
 }
 
@@ -66,7 +66,7 @@
     reader.required("name", organisation.name);
     reader.optional("tokensPerSecond", organisation.tokensPerSecond, 1, 1e12);
     if (const FieldError *error = reader.finish())
-        parent.adopt(*error);
+        parent.setError(*error);
     return organisation;
 }
 
@@ -77,7 +77,7 @@
     reader.optional("recomputedTokens", weights.recomputedTokens, 0, 1000);
     reader.optional("latency", weights.latency, 0, 1000);
     if (const FieldError *error = reader.finish())
-        parent.adopt(*error);
+        parent.setError(*error);
     return weights;
 }
 
@@ -199,7 +199,7 @@
         if (element.first->is_string())
             configuration.failureDomains.push_back({std::string(element.first->as_string())});
         else
-            reader.adopt({element.second, "must be a string"});
+            reader.setError({element.second, "must be a string"});
     }
     for (const std::pair<const json::value *, std::string> &element : reader.elements("services", true))
         configuration.services.push_back(parseService(reader, *element.first, element.second));
--- a/src/daemon/dispatch.cpp
+++ b/src/daemon/dispatch.cpp
@@ -76,8 +76,8 @@
 // when it starts again, so its lives are told apart by the time of their end.
 void noteEndpointEnded(World &world, const Request &request)
 {
-    const EndpointLife life{{request.endpoint.value}, {world.now.count / OneEndMs}};
-    world.suspects.endedUnder({request.digest, life, !request.text.empty()}, world.now);
+    const EndpointIncarnation life{{request.endpoint.value}, {world.now.count / OneEndMs}};
+    world.suspects.recordCrash({request.digest, life, !request.text.empty()}, world.now);
 }
 
 // True if the request left the queue.
@@ -218,7 +218,7 @@
     world.serviceMs += ServiceMsWeight * (took - world.serviceMs);
     world.endpoints.succeeded(request->endpoint);
     world.retries.succeeded();
-    world.suspects.answered(request->digest, world.now);
+    world.suspects.recordAnswer(request->digest, world.now);
     world.counters.add(Counter::CachedTokens, event.cachedTokens);
     closeAttempt(world, *request);
 
--- a/src/daemon/io/callerapi.cpp
+++ b/src/daemon/io/callerapi.cpp
@@ -341,7 +341,7 @@
     Caller *caller = find(action.caller);
     if (!caller)
         return;
-    latencies_.whole(clock_() - caller->arrivedAt);
+    latencies_.fullResponse(clock_() - caller->arrivedAt);
     const AnswerEnd &end = action.end;
     if (caller->stream && end.status == 200) {
         beginStream(*caller);
--- a/src/daemon/io/endpointlink.cpp
+++ b/src/daemon/io/endpointlink.cpp
@@ -176,9 +176,9 @@
         return sink_(EndpointFailed{running.id, FailurePhase::SaidNotRun});
     if (!mayHaveArrived(failure))
         return sink_(EndpointFailed{running.id, FailurePhase::NotSent});
-    if (failure == HttpFailure::Silent)
+    if (failure == HttpFailure::ProgressTimeout)
         return sink_(EndpointFailed{running.id, FailurePhase::Silent});
-    if (failure == HttpFailure::Broken || cut)
+    if (failure == HttpFailure::Interrupted || cut)
         return askAfterBreak(done);
     if (failed)
         return sink_(EndpointFailed{running.id, FailurePhase::AfterSend});
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -24,7 +24,7 @@
         if (address)
             settings.peers.push_back(*address);
         else
-            reader.adopt({element.second, "must be IP:PORT"});
+            reader.setError({element.second, "must be IP:PORT"});
     }
     if (const FieldError *error = reader.finish())
         return boost::leaf::new_error(*error);
--- a/src/gateway/decisionlog.h
+++ b/src/gateway/decisionlog.h
@@ -6,14 +6,14 @@
 namespace cranberry {
 
 /// Ordinary lines may be dropped under load; the others are kept as long as the log has space.
-enum class LogWeight : uint8_t { Ordinary, Failure, State };
+enum class LogPriority : uint8_t { Ordinary, Failure, State };
 
 /// Receives one structured line for each decision. Must not block.
 class DecisionLog
 {
 public:
     virtual ~DecisionLog() = default;
-    virtual void write(LogWeight weight, const char *event, boost::json::object fields) = 0;
+    virtual void write(LogPriority weight, const char *event, boost::json::object fields) = 0;
 };
 
 } // namespace cranberry
--- a/src/gateway/duties/leadercalls.h
+++ b/src/gateway/duties/leadercalls.h
@@ -21,7 +21,7 @@
 };
 
 /// One call made as the leader. The receiver rejects earlier leaders by the fencing token.
-struct DutyCall {
+struct LeaderCall {
     uint64_t id = 0;
     uint64_t fencingToken = 0;
     /// The call is aborted after this time, since this daemon may no longer be the leader.
@@ -30,7 +30,7 @@
     std::optional<EngineOrder> order;
 };
 
-enum class DutyOutcome : uint8_t {
+enum class LeaderCallOutcome : uint8_t {
     Done,
     NoneAvailable, ///< For an order: no such engines are available.
     Refused, ///< The call was not executed.
--- a/src/gateway/duties/usagereporter.cpp
+++ b/src/gateway/duties/usagereporter.cpp
@@ -14,13 +14,13 @@
 /// service without model engines is counted when its response begins. In addition, two reports of each daemon
 /// must have arrived, since one may be lost.
 constexpr DurationMs CountingTime{800};
-constexpr int64_t ReportsAwaited = 2;
+constexpr int64_t AwaitedReports = 2;
 constexpr DurationMs CallTimeout{1500};
 constexpr DurationMs RetryPause{400};
 /// Stored windows are deleted when they are this many windows old: they can no longer be reported.
 constexpr int64_t WindowsKept = 12;
 /// Stored in place of lost counts, so that no later leader reports the window either.
-constexpr const char *LeftOut = "left out";
+constexpr const char *OmittedWindow = "left out";
 
 std::string keyOf(int64_t window)
 {
@@ -53,10 +53,10 @@
 
 } // namespace
 
-void UsageDuty::tick(const Leadership &leadership, const UsageWindows &windows, const PeerTable &peers,
-                     const ServingConfigurationPtr &configuration, TimeMs now)
+void UsageReporter::tick(const Leadership &leadership, const UsageWindows &windows, const PeerTable &peers,
+                         const ServingConfigurationPtr &configuration, TimeMs now)
 {
-    recordsAreWhole_ = false;
+    recordsComplete_ = false;
     if (!leadership.held || !configuration) {
         // A successor may finish open reports from what the store holds.
         windows_.clear();
@@ -69,17 +69,17 @@
     const int64_t first = windows.windowAt(now - due_);
     windows_.erase(windows_.begin(), windows_.lower_bound(first));
     // A new leader has not received the reports of its peers yet: its counts would lack theirs.
-    const DurationMs gatherTime = CountingTime + peers.wholeReportPace() * ReportsAwaited;
+    const DurationMs gatherTime = CountingTime + peers.fullReportInterval() * AwaitedReports;
     if (now < *heldSince_ + gatherTime)
         return;
-    recordsAreWhole_ = true;
+    recordsComplete_ = true;
     for (int64_t number = first; windows.endOf(number) + gatherTime <= now; ++number) {
         Window &window = windows_[number];
-        recordsAreWhole_ = recordsAreWhole_ && window.step >= Step::Send;
+        recordsComplete_ = recordsComplete_ && window.step >= Step::Send;
         if (now < window.nextAt)
             continue;
         if (window.step == Step::Count) {
-            decide(number, window, leadership, windows, peers, configuration);
+            chooseCounts(number, window, leadership, windows, peers, configuration);
             write(number, window, leadership, now);
         } else if (window.step == Step::LookingUp || window.step == Step::Writing) {
             write(number, window, leadership, now);
@@ -91,9 +91,9 @@
 
 // Chooses what is written for a window if nothing is stored: the counts that this daemon has sent before, the
 // current counts, or a mark that the window is left out.
-void UsageDuty::decide(int64_t number, Window &window, const Leadership &leadership,
-                       const UsageWindows &windows, const PeerTable &peers,
-                       const ServingConfigurationPtr &configuration)
+void UsageReporter::chooseCounts(int64_t number, Window &window, const Leadership &leadership,
+                                 const UsageWindows &windows, const PeerTable &peers,
+                                 const ServingConfigurationPtr &configuration)
 {
     window.step = Step::Writing;
     const auto sent = sent_.find(number);
@@ -116,14 +116,14 @@
         window.counts[count.first] += count.second;
 }
 
-void UsageDuty::write(int64_t number, Window &window, const Leadership &leadership, TimeMs now)
+void UsageReporter::write(int64_t number, Window &window, const Leadership &leadership, TimeMs now)
 {
     window.nextAt = now + CallTimeout + RetryPause;
     StoreCall call;
     call.id = nextCall_++;
     call.verb = StoreVerb::Write;
-    call.conditions = {{StoreSpace::Archive, keyOf(number), 0}, leadership.stands};
-    const std::string text = window.step == Step::LookingUp ? LeftOut : textOf(window.counts);
+    call.conditions = {{StoreSpace::Archive, keyOf(number), 0}, leadership.leaderCondition};
+    const std::string text = window.step == Step::LookingUp ? OmittedWindow : textOf(window.counts);
     call.puts.push_back({StoreSpace::Archive, keyOf(number), text, 0});
     call.deletes.push_back({StoreSpace::Archive, keyOf(number - WindowsKept)});
     call.timeout = CallTimeout;
@@ -131,11 +131,11 @@
     storeCalls_.push_back(std::move(call));
 }
 
-void UsageDuty::send(int64_t number, Window &window, const Leadership &leadership, TimeMs now)
+void UsageReporter::send(int64_t number, Window &window, const Leadership &leadership, TimeMs now)
 {
     window.step = Step::Sending;
     window.nextAt = now + CallTimeout + RetryPause;
-    DutyCall call;
+    LeaderCall call;
     call.id = nextCall_++;
     call.fencingToken = leadership.fencingToken;
     call.timeout = std::min(CallTimeout, leadership.validUntil - now);
@@ -143,10 +143,10 @@
     sent_[number] = window.counts;
     sent_.erase(sent_.begin(), sent_.lower_bound(number - WindowsKept));
     calls_[call.id] = number;
-    dutyCalls_.push_back(std::move(call));
+    leaderCalls_.push_back(std::move(call));
 }
 
-void UsageDuty::onStoreReply(const StoreReply &reply, TimeMs now)
+void UsageReporter::onStoreReply(const StoreReply &reply, TimeMs now)
 {
     const auto call = calls_.find(reply.id);
     if (call == calls_.end())
@@ -162,7 +162,7 @@
         window.step = isLookUp ? Step::Done : Step::Send;
         window.nextAt = now;
         if (isLookUp)
-            log_.write(LogWeight::Failure, "usage_left_out",
+            log_.write(LogPriority::Failure, "usage_left_out",
                        {{"window", found->first}, {"why", "an earlier holder may have reported it"}});
     } else if (reply.outcome == StoreOutcome::Conflict) {
         for (const StoreItem &item : reply.items) {
@@ -174,20 +174,20 @@
 
 // The window was written before, perhaps by this daemon with a lost reply. The stored counts are used, unless
 // this daemon has already sent different ones.
-void UsageDuty::onStored(int64_t number, Window &window, const std::string &text, TimeMs now)
+void UsageReporter::onStored(int64_t number, Window &window, const std::string &text, TimeMs now)
 {
-    if (text == LeftOut) {
+    if (text == OmittedWindow) {
         window.step = Step::Done;
         return;
     }
     const std::optional<std::map<OrganisationName, uint64_t>> stored = countsFromText(text);
     if (!stored) {
-        log_.write(LogWeight::Failure, "usage_unreadable", {{"window", number}});
+        log_.write(LogPriority::Failure, "usage_unreadable", {{"window", number}});
         return;
     }
     const auto sent = sent_.find(number);
     if (sent != sent_.end() && sent->second != *stored) {
-        log_.write(LogWeight::Failure, "usage_differs", {{"window", number}, {"stored", text}});
+        log_.write(LogPriority::Failure, "usage_differs", {{"window", number}, {"stored", text}});
         window.step = Step::Done;
         return;
     }
@@ -196,7 +196,7 @@
     window.nextAt = now;
 }
 
-void UsageDuty::onDutyReply(uint64_t id, DutyOutcome outcome, TimeMs now)
+void UsageReporter::onLeaderReply(uint64_t id, LeaderCallOutcome outcome, TimeMs now)
 {
     const auto call = calls_.find(id);
     if (call == calls_.end())
@@ -206,10 +206,10 @@
     if (found == windows_.end() || found->second.step != Step::Sending)
         return;
     found->second.nextAt = now + RetryPause;
-    if (outcome != DutyOutcome::Done)
+    if (outcome != LeaderCallOutcome::Done)
         return;
     found->second.step = Step::Done;
-    log_.write(LogWeight::State, "usage_reported",
+    log_.write(LogPriority::State, "usage_reported",
                {{"window", found->first}, {"counts", textOf(found->second.counts)}});
 }
 
--- a/src/gateway/duties/usagereporter.h
+++ b/src/gateway/duties/usagereporter.h
@@ -19,20 +19,20 @@
 /// window can exist. Where the store may have lost what an earlier leader wrote, a window that may have been
 /// reported is reported only with stored counts or not at all: a missing report can be requested later, but a
 /// second, different one can't be taken back.
-class UsageDuty
+class UsageReporter
 {
 public:
-    UsageDuty(DurationMs due, DecisionLog &log) : due_(due), log_(log) { }
+    UsageReporter(DurationMs due, DecisionLog &log) : due_(due), log_(log) { }
 
     void tick(const Leadership &leadership, const UsageWindows &windows, const PeerTable &peers,
               const ServingConfigurationPtr &configuration, TimeMs now);
     void onStoreReply(const StoreReply &reply, TimeMs now);
-    void onDutyReply(uint64_t id, DutyOutcome outcome, TimeMs now);
+    void onLeaderReply(uint64_t id, LeaderCallOutcome outcome, TimeMs now);
     /// This daemon is the leader, and the store has a record of each window that is due.
-    bool recordsAreWhole() const { return recordsAreWhole_; }
+    bool recordsComplete() const { return recordsComplete_; }
 
     std::vector<StoreCall> takeStoreCalls() { return std::exchange(storeCalls_, {}); }
-    std::vector<DutyCall> takeDutyCalls() { return std::exchange(dutyCalls_, {}); }
+    std::vector<LeaderCall> takeLeaderCalls() { return std::exchange(leaderCalls_, {}); }
 
 private:
     enum class Step : uint8_t { Count, LookingUp, Writing, Send, Sending, Done };
@@ -41,15 +41,16 @@
         TimeMs nextAt;
         std::map<OrganisationName, uint64_t> counts;
     };
-    void decide(int64_t number, Window &window, const Leadership &leadership, const UsageWindows &windows,
-                const PeerTable &peers, const ServingConfigurationPtr &configuration);
+    void chooseCounts(int64_t number, Window &window, const Leadership &leadership,
+                      const UsageWindows &windows, const PeerTable &peers,
+                      const ServingConfigurationPtr &configuration);
     void write(int64_t number, Window &window, const Leadership &leadership, TimeMs now);
     void onStored(int64_t number, Window &window, const std::string &text, TimeMs now);
     void send(int64_t number, Window &window, const Leadership &leadership, TimeMs now);
 
     DurationMs due_;
     std::optional<TimeMs> heldSince_;
-    bool recordsAreWhole_ = false;
+    bool recordsComplete_ = false;
     DecisionLog &log_;
     std::map<int64_t, Window> windows_;
     /// Counts that this daemon has sent, including those from an earlier leadership: the store may have lost
@@ -57,7 +58,7 @@
     std::map<int64_t, std::map<OrganisationName, uint64_t>> sent_;
     std::map<uint64_t, int64_t> calls_; ///< Window of each open call, by call id.
     std::vector<StoreCall> storeCalls_;
-    std::vector<DutyCall> dutyCalls_;
+    std::vector<LeaderCall> leaderCalls_;
     uint64_t nextCall_ = 1;
 };
 
--- a/src/gateway/duties/usagewindows.cpp
+++ b/src/gateway/duties/usagewindows.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-constexpr size_t MostWindows = 8; ///< Usage must be reported well before the eighth window ends.
+constexpr size_t MaxWindows = 8; ///< Usage must be reported well before the eighth window ends.
 
 } // namespace
 
 void UsageWindows::count(const OrganisationName &organisation, TimeMs beganAt)
 {
     ++counts_[windowAt(beganAt)][organisation];
-    while (counts_.size() > MostWindows)
+    while (counts_.size() > MaxWindows)
         counts_.erase(counts_.begin());
 }
 
--- a/src/gateway/endpoints/crashsuspects.h
+++ b/src/gateway/endpoints/crashsuspects.h
@@ -19,16 +19,16 @@
 {
 public:
     /// Returns true if this crash puts the request in quarantine. A crash that is reported twice counts once.
-    bool endedUnder(const EndpointLoss &loss, TimeMs now);
+    bool recordCrash(const EndpointCrash &crash, TimeMs now);
     /// Records that an endpoint answered the request completely. Returns true if the request was suspected,
     /// in which case peers have to be notified.
-    bool answered(RequestDigest request, TimeMs now);
+    bool recordAnswer(RequestDigest request, TimeMs now);
 
     bool isSuspected(RequestDigest request) const { return suspects_.contains(request); }
     bool isQuarantined(RequestDigest request, TimeMs now) const { return timeLeft(request, now).count > 0; }
     /// Time until the request may be sent again; 0 if it is not in quarantine.
     DurationMs timeLeft(RequestDigest request, TimeMs now) const;
-    size_t endsUnder(RequestDigest request) const; ///< Number of endpoints known to have crashed under it.
+    size_t crashCount(RequestDigest request) const; ///< Number of endpoints known to have crashed under it.
 
     /// Applies another daemon's quarantine. Returns true if it was not known. A quarantine that began before
     /// the answer that cleared the request is ignored.
@@ -39,21 +39,21 @@
     };
     /// Returns at most `maxCount` quarantines for the store and the standby daemons, those that last longest
     /// first.
-    std::vector<Quarantined> quarantined(size_t most, TimeMs now) const;
+    std::vector<Quarantined> quarantined(size_t maxCount, TimeMs now) const;
     /// Returns at most `maxCount` known crashes for a daemon that has received none, those of the requests
     /// with most crashes first.
-    std::vector<EndpointLoss> losses(size_t most) const;
+    std::vector<EndpointCrash> crashes(size_t maxCount) const;
     /// Increases with each change of the set of quarantined requests.
     uint64_t version() const { return version_; }
     size_t size() const { return suspects_.size(); }
 
 private:
     struct Suspect {
-        std::map<EndpointLife, uint32_t> ends; ///< Points by endpoint incarnation.
+        std::map<EndpointIncarnation, uint32_t> crashPoints; ///< Points by endpoint incarnation.
         TimeMs lastAt;
         TimeMs quarantinedUntil;
     };
-    void makeRoom(TimeMs now);
+    void evictOne(TimeMs now);
 
     std::map<RequestDigest, Suspect> suspects_;
     std::map<RequestDigest, TimeMs> clearedAt_; ///< Requests that were answered while in quarantine.
--- a/src/gateway/endpoints/endpointcrashes.cpp
+++ b/src/gateway/endpoints/endpointcrashes.cpp
@@ -11,88 +11,90 @@
 constexpr DurationMs ProcessProbeTimeout{500};
 /// A stream that ran for this long did not crash its endpoint by starting; such crashes were seen 35 to 110
 /// ms after the start.
-constexpr DurationMs SoundRunTime{1000};
+constexpr DurationMs StableStreamTime{1000};
 
 } // namespace
 
 // A request that is already a suspect is not retried before the probe's result is known: the result comes
 // within two milliseconds, and the retry could crash another endpoint.
-bool Gateway::noteBroken(const Exchange &exchange, TimeMs now)
+bool Gateway::recordInterruptedAttempt(const Exchange &exchange, TimeMs now)
 {
-    const FleetEndpoint *endpoint = fleet_.find(exchange.at);
+    const FleetEndpoint *endpoint = fleet_.find(exchange.sentTo);
     if (!endpoint)
         return false;
-    BrokenAttempt broken{exchange.caller, exchange.request->id, exchange.digest, std::nullopt, false};
+    InterruptedAttempt attempt{exchange.caller, exchange.request->id, exchange.digest, std::nullopt, false};
     if (exchange.streaming)
-        broken.firstEventAt = exchange.firstEventAt;
-    broken.waits = quarantine_.suspects().isSuspected(exchange.digest) && !isQuarantined(exchange, now);
-    if (endpointQuestions_.add(exchange.at, broken, now))
+        attempt.firstEventAt = exchange.firstEventAt;
+    attempt.retryAfterProbe
+        = quarantine_.suspects().isSuspected(exchange.digest) && !isQuarantined(exchange, now);
+    if (endpointQuestions_.add(exchange.sentTo, attempt, now))
         actions_.emplace_back(
-            ProbeEngine{exchange.at.id, endpoint->entry.address, ProcessProbeTimeout, true});
-    return broken.waits;
+            ProbeEngine{exchange.sentTo.id, endpoint->entry.address, ProcessProbeTimeout, true});
+    return attempt.retryAfterProbe;
 }
 
-void Gateway::onProcessKnown(const EngineProbed &event, TimeMs now)
+void Gateway::onProcessProbed(const EngineProbed &event, TimeMs now)
 {
-    const std::optional<EndpointQuestions::Answered> question = endpointQuestions_.take(event);
-    if (!question)
+    const std::optional<EndpointProbes::ProbeResult> probe = endpointQuestions_.take(event);
+    if (!probe)
         return;
-    if (question->process == EndpointProcess::Ended)
-        noteEnd(*question, now);
+    if (probe->process == EndpointProcess::Exited)
+        onEndpointCrash(*probe, now);
     else
-        counters_.add(question->process == EndpointProcess::Runs ? GatewayCount::EndpointsOutlivedBreaks
+        counters_.add(probe->process == EndpointProcess::Running ? GatewayCount::EndpointsOutlivedBreaks
                                                                  : GatewayCount::BreaksUnexplained);
-    for (const BrokenAttempt &broken : question->broken) {
-        const auto exchange = exchanges_.find(broken.caller);
-        if (broken.waits && exchange != exchanges_.end())
-            goOnAfterBreak(exchange->second, true, now);
+    for (const InterruptedAttempt &attempt : probe->attempts) {
+        const auto exchange = exchanges_.find(attempt.caller);
+        if (attempt.retryAfterProbe && exchange != exchanges_.end())
+            continueAfterFailure(exchange->second, true, now);
     }
 }
 
-void Gateway::noteEnd(const EndpointQuestions::Answered &question, TimeMs now)
+void Gateway::onEndpointCrash(const EndpointProbes::ProbeResult &probe, TimeMs now)
 {
     counters_.add(GatewayCount::EndpointsEnded);
-    const FleetEndpoint *endpoint = fleet_.find(question.life);
+    const FleetEndpoint *endpoint = fleet_.find(probe.incarnation);
     const bool announced = endpoint && (endpoint->entry.leaving || endpoint->gone);
-    log_.write(LogWeight::State, "endpoint_ended",
-               {{"endpoint", question.life.id.value},
-                {"start", question.life.start.unixMs},
+    log_.write(LogPriority::State, "endpoint_ended",
+               {{"endpoint", probe.incarnation.id.value},
+                {"start", probe.incarnation.start.unixMs},
                 {"announced", announced},
-                {"attempts", question.broken.size()},
-                {"known_after_ms", (now - question.askedAt).count}});
-    fleet_.ended(question.life, now);
-    std::vector<EndpointLoss> losses;
-    for (const BrokenAttempt &broken : question.broken) {
+                {"attempts", probe.attempts.size()},
+                {"known_after_ms", (now - probe.askedAt).count}});
+    fleet_.crashed(probe.incarnation, now);
+    std::vector<EndpointCrash> crashes;
+    for (const InterruptedAttempt &attempt : probe.attempts) {
         const DurationMs streamed
-            = broken.firstEventAt ? question.askedAt - *broken.firstEventAt : DurationMs{-1};
-        log_.write(LogWeight::Failure, "lost_with_endpoint",
-                   {{"request", broken.requestId},
-                    {"digest", toText(broken.digest)},
-                    {"endpoint", question.life.id.value},
+            = attempt.firstEventAt ? probe.askedAt - *attempt.firstEventAt : DurationMs{-1};
+        log_.write(LogPriority::Failure, "lost_with_endpoint",
+                   {{"request", attempt.requestId},
+                    {"digest", toText(attempt.digest)},
+                    {"endpoint", probe.incarnation.id.value},
                     {"streamed_ms", streamed.count},
-                    {"ends_before", quarantine_.suspects().endsUnder(broken.digest)}});
-        losses.push_back({broken.digest, question.life, streamed >= SoundRunTime});
+                    {"ends_before", quarantine_.suspects().crashCount(attempt.digest)}});
+        crashes.push_back({attempt.digest, probe.incarnation, streamed >= StableStreamTime});
     }
     // A leaving endpoint exits as planned, so its requests are not suspected.
     if (announced)
         return;
-    noteQuarantined(quarantine_.takeLosses(losses, VerdictSource::Own, now), VerdictSource::Own, now);
-    for (const CrashNotice &notice : noticesOf(losses))
-        tell(peers_.reportTargets(), notice);
+    applyQuarantine(quarantine_.applyCrashes(crashes, QuarantineSource::Own, now), QuarantineSource::Own,
+                    now);
+    for (const CrashNotice &notice : crashNotices(crashes))
+        sendToMembers(peers_.reportTargets(), notice);
 }
 
 void Gateway::onCrashNotice(const CrashNotice &notice, TimeMs now)
 {
-    noteQuarantined(quarantine_.takeLosses(notice.losses, VerdictSource::Peer, now), VerdictSource::Peer,
-                    now);
+    applyQuarantine(quarantine_.applyCrashes(notice.crashes, QuarantineSource::Peer, now),
+                    QuarantineSource::Peer, now);
     for (const RequestDigest request : notice.answered)
-        quarantine_.answeredElsewhere(request, now);
-    onQuarantine(notice.quarantined, VerdictSource::Peer, now);
+        quarantine_.onPeerAnswer(request, now);
+    onQuarantine(notice.quarantined, QuarantineSource::Peer, now);
 }
 
-void Gateway::onQuarantine(const std::vector<QuarantinedRequest> &list, VerdictSource source, TimeMs now)
+void Gateway::onQuarantine(const std::vector<QuarantinedRequest> &list, QuarantineSource source, TimeMs now)
 {
-    noteQuarantined(quarantine_.takeList(list, usage_.offset(), now), source, now);
+    applyQuarantine(quarantine_.applyQuarantined(list, usage_.offset(), now), source, now);
 }
 
 const std::vector<QuarantinedRequest> &Gateway::quarantine(TimeMs now)
@@ -100,23 +102,23 @@
     return quarantine_.list(usage_.offset(), now);
 }
 
-void Gateway::noteQuarantined(const std::vector<RequestDigest> &requests, VerdictSource source, TimeMs now)
+void Gateway::applyQuarantine(const std::vector<RequestDigest> &requests, QuarantineSource source, TimeMs now)
 {
     for (const RequestDigest request : requests) {
         counters_.add(GatewayCount::RequestsQuarantined);
-        log_.write(LogWeight::State, "request_quarantined",
+        log_.write(LogPriority::State, "request_quarantined",
                    {{"digest", toText(request)},
                     {"learned_from", toText(source)},
-                    {"ends", quarantine_.suspects().endsUnder(request)},
+                    {"ends", quarantine_.suspects().crashCount(request)},
                     {"for_ms", quarantine_.suspects().timeLeft(request, now).count}});
-        endQuarantinedAttempts(request, now);
+        cancelQuarantinedAttempts(request, now);
     }
 }
 
 // Cancels attempts that are queued at endpoints or have just started there, since an endpoint drops a request
 // whose connection closes. With 0.1 to 1 s between sending and starting, most open attempts are cancelled
 // before they can crash an endpoint. Running streams continue where they are.
-void Gateway::endQuarantinedAttempts(RequestDigest request, TimeMs now)
+void Gateway::cancelQuarantinedAttempts(RequestDigest request, TimeMs now)
 {
     std::vector<CallerId> open;
     for (const std::pair<const AttemptId, CallerId> &entry : attempts_) {
@@ -128,9 +130,9 @@
         Exchange &exchange = exchanges_.at(caller);
         cancelAttempt(exchange);
         if (exchange.phase == ExchangePhase::Streaming)
-            streamBroke(exchange, now);
+            abortStream(exchange, now);
         else
-            answer(exchange, quarantineAnswer(exchange, now), now);
+            answer(exchange, quarantineResponse(exchange, now), now);
     }
 }
 
@@ -139,40 +141,40 @@
     return quarantine_.suspects().isQuarantined(exchange.digest, now);
 }
 
-Gateway::OwnAnswer Gateway::quarantineAnswer(const Exchange &exchange, TimeMs now) const
+Gateway::OwnAnswer Gateway::quarantineResponse(const Exchange &exchange, TimeMs now) const
 {
     return {exchange.mayHaveRun ? 502 : 503, GatewayRefusal::Quarantined,
             quarantine_.suspects().timeLeft(exchange.digest, now)};
 }
 
-void Gateway::noteAnswered(const Exchange &exchange, TimeMs now)
+void Gateway::clearSuspicion(const Exchange &exchange, TimeMs now)
 {
     if (isQuarantined(exchange, now))
-        log(LogWeight::State, "quarantine_refuted", exchange,
+        log(LogPriority::State, "quarantine_refuted", exchange,
             {{"digest", toText(exchange.digest)},
-             {"ends", quarantine_.suspects().endsUnder(exchange.digest)}});
-    quarantine_.answered(exchange.digest, now);
+             {"ends", quarantine_.suspects().crashCount(exchange.digest)}});
+    quarantine_.onOwnAnswer(exchange.digest, now);
 }
 
 // Standby daemons receive the quarantines when they query the serving daemons about the store.
-void Gateway::tellOfSuspects(TimeMs now)
+void Gateway::sendCrashNotice(TimeMs now)
 {
-    if (const std::optional<CrashNotice> notice = quarantine_.due(usage_.offset(), now))
-        tell(peers_.reportTargets(), *notice);
+    if (const std::optional<CrashNotice> notice = quarantine_.dueNotice(usage_.offset(), now))
+        sendToMembers(peers_.reportTargets(), *notice);
 }
 
 // A daemon that starts to serve, or restarts, has missed the earlier notices.
-void Gateway::tellNewServing(TimeMs now)
+void Gateway::notifyNewServing(TimeMs now)
 {
-    if (const std::optional<CrashNotice> notice = quarantine_.forNewcomer(usage_.offset(), now))
-        tell(peers_.newTargets(), *notice);
-    tellNewServingOfLimits(now);
+    if (const std::optional<CrashNotice> notice = quarantine_.noticeForNewDaemon(usage_.offset(), now))
+        sendToMembers(peers_.newTargets(), *notice);
+    sendLimitsToNewServing(now);
 }
 
-void Gateway::tell(const std::vector<const MemberEntry *> &members, const CrashNotice &notice)
+void Gateway::sendToMembers(const std::vector<const MemberEntry *> &members, const CrashNotice &notice)
 {
     for (const MemberEntry *member : members)
-        actions_.emplace_back(TellPeer{member->peerAddress, notice});
+        actions_.emplace_back(SendToPeer{member->peerAddress, notice});
 }
 
 } // namespace cranberry
--- a/src/gateway/endpoints/endpointfleet.cpp
+++ b/src/gateway/endpoints/endpointfleet.cpp
@@ -20,22 +20,22 @@
 /// The list still contains a crashed endpoint for up to this time: some heartbeats plus the age of a view.
 /// Endpoints behind a network partition that refuses connections look the same to this daemon, and are tried
 /// again after this time.
-constexpr DurationMs StaysListed{4000};
+constexpr DurationMs CrashedListingTime{4000};
 /// A store restored from an older copy has lost some seconds of writes. Endpoints that it lists again left no
 /// longer ago than this.
-constexpr DurationMs DepartedMemory{60000};
+constexpr DurationMs RemovedRetention{60000};
 /// Streams of an engine send events every few tens of milliseconds, with prefill done in chunks between them.
 /// If all streams of an engine are silent for this time, it is down or unreachable.
-constexpr DurationMs SilenceOfStreams{700};
+constexpr DurationMs SilentStreamsTimeout{700};
 /// If the list is older than this, engines are probed directly at `ProbeInterval` whether they leave.
-constexpr DurationMs ListTooOld{1800};
-constexpr DurationMs ProbePace{600};
+constexpr DurationMs StaleListAge{1800};
+constexpr DurationMs ProbeInterval{600};
 /// A leaving notice may have been in the list for this long before it was read.
-constexpr DurationMs NoticeAge{500};
+constexpr DurationMs ListReadDelay{500};
 /// A gap between two ticks that shows that this process itself was paused.
-constexpr DurationMs StandstillGap{250};
+constexpr DurationMs ProcessPauseGap{250};
 /// Data that an earlier incarnation sent before it exited may still be in flight for this long.
-constexpr DurationMs LastBytesTime{300};
+constexpr DurationMs InFlightTime{300};
 /// Weight of the newest outcome in the moving average: about the last ten attempts count.
 constexpr double FailureWeight = 0.1;
 /// Prefill speed assumed by endpoint selection; only its ratio to the penalties below matters.
@@ -43,10 +43,10 @@
 /// Factor on the prefill time of the request itself: prefill lengthens the queue for all requests behind it,
 /// and a shared part that is prefilled again evicts another one. In a load test 17.7 in 100 prefilled tokens
 /// were shared parts that another engine had cached with a factor of one, and 10.1 with a factor of three.
-constexpr double ReadingAgainWeight = 3;
+constexpr double PrefillCostFactor = 3;
 /// Time constant of the moving average of peers' outstanding prefill tokens; equals the interval of their
 /// reports. In eight days on small deployments it cut the shared tokens that were prefilled again by 12 %.
-constexpr DurationMs PeersPrefillMean{200};
+constexpr DurationMs PeersPrefillTimeConstant{200};
 /// Each running request lengthens a step of the whole batch slightly.
 constexpr double RunningPenaltyMs = 4;
 /// An endpoint that fails every request has the same cost as a wait of this length.
@@ -54,7 +54,7 @@
 /// An endpoint that is missing from the newest list is used last.
 constexpr double UnlistedPenaltyMs = 1000;
 /// Cached parts are forgotten after this time without use; engines evict the least recently used ones.
-constexpr DurationMs CacheMemory{60000};
+constexpr DurationMs CachedPartRetention{60000};
 constexpr size_t MaxCachedParts = 512;
 
 uint64_t cachedTokens(const FleetEndpoint &endpoint, const CallerRequest &request)
@@ -68,9 +68,9 @@
     return tokens;
 }
 
-double placesOf(const FleetEndpoint &endpoint, const PlacementQuestion &question)
+double slotsOf(const FleetEndpoint &endpoint, const PlacementQuery &query)
 {
-    return question.engine ? question.engine->slots : endpoint.entry.slots;
+    return query.engine ? query.engine->slots : endpoint.entry.slots;
 }
 
 } // namespace
@@ -93,23 +93,23 @@
     return request.parts.size() < 2 ? std::string() : request.parts[request.parts.size() - 2].id;
 }
 
-void EndpointFleet::take(const EndpointsRead &read, TimeMs now)
+void EndpointFleet::applyList(const EndpointsRead &read, TimeMs now)
 {
-    const bool isOlderStore = known_ && era_ != 0 && read.era > era_;
+    const bool isOlderStore = hasList_ && era_ != 0 && read.era > era_;
     if (isOlderStore)
-        eraSince_ = now;
-    if (isOlderStore || (known_ && read.askedAt - listedAt_ > ListInterruption))
-        regainedAt_ = now;
+        storeRestoredAt_ = now;
+    if (isOlderStore || (hasList_ && read.askedAt - listedAt_ > ListInterruption))
+        listRegainedAt_ = now;
     era_ = std::max(era_, read.era);
-    known_ = true;
+    hasList_ = true;
     listedAt_ = std::max(listedAt_, read.askedAt);
-    std::set<EndpointId> named;
+    std::set<EndpointId> listedIds;
     for (const EndpointEntry &entry : read.entries) {
-        named.insert(entry.id);
-        takeEntry(entry, read.askedAt, now);
+        listedIds.insert(entry.id);
+        applyEntry(entry, read.askedAt, now);
     }
     for (std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_) {
-        if (!named.contains(entry.first))
+        if (!listedIds.contains(entry.first))
             entry.second.listed = false;
     }
     tick(now);
@@ -118,13 +118,13 @@
 // Three kinds of entries only mark the endpoint as listed: an unreadable one, a late write of an earlier
 // incarnation, and one without a start time for an endpoint that has already stated one, since another writer
 // must have written it.
-void EndpointFleet::takeEntry(const EndpointEntry &entry, TimeMs askedAt, TimeMs now)
+void EndpointFleet::applyEntry(const EndpointEntry &entry, TimeMs askedAt, TimeMs now)
 {
     const auto found = endpoints_.find(entry.id);
     const bool isKnown = found != endpoints_.end();
-    const bool lostItsStart
-        = isKnown && entry.start == EndpointStart{} && found->second.entry.start != EndpointStart{};
-    const bool readable = entry.readable && !lostItsStart;
+    const bool lacksStart
+        = isKnown && entry.start == EndpointStartTime{} && found->second.entry.start != EndpointStartTime{};
+    const bool readable = entry.readable && !lacksStart;
     if (!isKnown && !readable)
         return;
     FleetEndpoint &endpoint = isKnown ? found->second : endpoints_[entry.id];
@@ -132,68 +132,70 @@
     endpoint.listedAt = askedAt;
     endpoint.readable = readable;
     if (!isKnown || endpoint.gone)
-        takeUpAgain(endpoint, entry, now);
+        restoreRemoved(endpoint, entry, now);
     if (!readable || (isKnown && entry.start < endpoint.entry.start))
         return;
     if (isKnown && entry.start > endpoint.entry.start)
-        startAgain(endpoint, entry.start, now);
+        resetForRestart(endpoint, entry.start, now);
     const bool wasLeaving = endpoint.entry.leaving;
     endpoint.entry = entry;
     endpoint.entry.leaving = entry.leaving || wasLeaving; // A leaving incarnation never returns to service.
     if (endpoint.entry.leaving && !endpoint.leavesAt)
-        endpoint.leavesAt = askedAt - NoticeAge + entry.leavesAfter.value_or(drainTime_);
+        endpoint.leavesAt = askedAt - ListReadDelay + entry.leavesAfter.value_or(drainTime_);
 }
 
 // A store restored from an older copy lists endpoints that have left or crashed since. An endpoint that was
 // leaving does not return to service within its incarnation. The entry of one that just went missing expires
 // again within some heartbeats unless it runs.
-void EndpointFleet::takeUpAgain(FleetEndpoint &endpoint, const EndpointEntry &entry, TimeMs now) const
+void EndpointFleet::restoreRemoved(FleetEndpoint &endpoint, const EndpointEntry &entry, TimeMs now) const
 {
-    const auto departed = departed_.find(entry.id);
-    if (departed == departed_.end() || entry.start > departed->second.start)
+    const auto departed = removed_.find(entry.id);
+    if (departed == removed_.end() || entry.start > departed->second.start)
         return;
     endpoint.entry.leaving = endpoint.entry.leaving || departed->second.leaving;
-    if (eraSince_.count != 0 && now - eraSince_ < StaysListed)
-        endpoint.avoidUntil = eraSince_ + StaysListed;
+    if (storeRestoredAt_.count != 0 && now - storeRestoredAt_ < CrashedListingTime)
+        endpoint.avoidUntil = storeRestoredAt_ + CrashedListingTime;
 }
 
 // A restarted process has no cached parts, load or failures of its earlier incarnation, and does not leave
 // because that one did. Keeping this state would route requests to caches that are gone, and an endpoint that
 // left once would never be used again.
-void EndpointFleet::startAgain(FleetEndpoint &endpoint, EndpointStart start, TimeMs now)
+void EndpointFleet::resetForRestart(FleetEndpoint &endpoint, EndpointStartTime start, TimeMs now)
 {
     FleetEndpoint next;
     next.entry = endpoint.entry;
     next.entry.start = start;
     next.entry.leaving = false;
     next.entry.leavesAfter.reset();
-    next.startedAgainAt = now;
+    next.restartedAt = now;
     next.listed = endpoint.listed;
     next.listedAt = endpoint.listedAt;
     next.readable = endpoint.readable;
     endpoint = std::move(next);
 }
 
-FleetEndpoint *EndpointFleet::at(const EndpointLife &life)
+FleetEndpoint *EndpointFleet::at(const EndpointIncarnation &incarnation)
 {
-    const auto found = endpoints_.find(life.id);
-    return found != endpoints_.end() && found->second.entry.start == life.start ? &found->second : nullptr;
+    const auto found = endpoints_.find(incarnation.id);
+    return found != endpoints_.end() && found->second.entry.start == incarnation.start ? &found->second
+                                                                                       : nullptr;
 }
 
-bool EndpointFleet::isOver(const EndpointLife &life, TimeMs now) const
+bool EndpointFleet::isSuperseded(const EndpointIncarnation &incarnation, TimeMs now) const
 {
-    const FleetEndpoint *endpoint = find(life.id);
-    return endpoint && endpoint->entry.start > life.start && now - endpoint->startedAgainAt > LastBytesTime;
+    const FleetEndpoint *endpoint = find(incarnation.id);
+    return endpoint && endpoint->entry.start > incarnation.start
+        && now - endpoint->restartedAt > InFlightTime;
 }
 
-bool EndpointFleet::answered(const EndpointLife &life, TimeMs now)
+bool EndpointFleet::confirmIncarnation(const EndpointIncarnation &incarnation, TimeMs now)
 {
-    const auto found = endpoints_.find(life.id);
+    const auto found = endpoints_.find(incarnation.id);
     if (found == endpoints_.end())
         return false;
-    if (life.start > found->second.entry.start)
-        startAgain(found->second, life.start, now);
-    return life.start == found->second.entry.start;
+    if (incarnation.start > found->second.entry.start)
+        resetForRestart(found->second, incarnation.start, now);
+    return incarnation.start == found->second.entry.start;
 }
 
 // An endpoint that is missing from the list is gone, unless the list was interrupted just before: then its
@@ -201,21 +203,21 @@
 // choice.
 void EndpointFleet::tick(TimeMs now)
 {
-    if (now - tickedAt_ > StandstillGap)
-        wokeAt_ = now;
+    if (now - tickedAt_ > ProcessPauseGap)
+        resumedAt_ = now;
     tickedAt_ = now;
-    const bool inGrace = now - regainedAt_ < RelistGrace && regainedAt_.count > 0;
+    const bool inGrace = now - listRegainedAt_ < RelistGrace && listRegainedAt_.count > 0;
     for (std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_) {
         entry.second.gone = !entry.second.listed && !inGrace;
         if (entry.second.gone && !entry.second.leavesAt)
-            entry.second.leavesAt = now - NoticeAge + drainTime_;
+            entry.second.leavesAt = now - ListReadDelay + drainTime_;
     }
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_) {
         if (entry.second.gone)
-            departed_[entry.first] = {entry.second.entry.start, entry.second.entry.leaving, now};
+            removed_[entry.first] = {entry.second.entry.start, entry.second.entry.leaving, now};
     }
-    std::erase_if(departed_, [now](const std::pair<const EndpointId, Departed> &entry) {
-        return now - entry.second.at > DepartedMemory;
+    std::erase_if(removed_, [now](const std::pair<const EndpointId, RemovedEndpoint> &entry) {
+        return now - entry.second.at > RemovedRetention;
     });
     std::erase_if(endpoints_, [](const std::pair<const EndpointId, FleetEndpoint> &entry) {
         return entry.second.gone && entry.second.running == 0;
@@ -224,113 +226,115 @@
 
 bool EndpointFleet::isSilent(const FleetEndpoint &endpoint, TimeMs now) const
 {
-    return endpoint.streaming > 0 && now - std::max(endpoint.heardAt, wokeAt_) > SilenceOfStreams;
+    return endpoint.streaming > 0 && now - std::max(endpoint.lastByteAt, resumedAt_) > SilentStreamsTimeout;
 }
 
-bool EndpointFleet::isSilent(const EndpointLife &life, DurationMs pause, TimeMs now) const
+bool EndpointFleet::isSilent(const EndpointIncarnation &incarnation, DurationMs pause, TimeMs now) const
 {
-    const FleetEndpoint *endpoint = find(life);
-    return endpoint && isSilent(*endpoint, now) && now - std::max(endpoint->heardAt, wokeAt_) > pause;
+    const FleetEndpoint *endpoint = find(incarnation);
+    return endpoint && isSilent(*endpoint, now) && now - std::max(endpoint->lastByteAt, resumedAt_) > pause;
 }
 
-bool EndpointFleet::takesWork(const FleetEndpoint &endpoint, const ServiceName &service)
+bool EndpointFleet::acceptsRequests(const FleetEndpoint &endpoint, const ServiceName &service)
 {
     return endpoint.entry.service == service && !endpoint.entry.leaving && !endpoint.gone
         && endpoint.readable;
 }
 
-bool EndpointFleet::mayTake(const FleetEndpoint &endpoint, const PlacementQuestion &question)
+bool EndpointFleet::isEligible(const FleetEndpoint &endpoint, const PlacementQuery &query)
 {
-    return takesWork(endpoint, question.service) && !endpoint.avoidedForGood
-        && !question.tried.contains(endpoint.entry.id) && !question.barred.contains(endpoint.entry.version)
-        && (!question.among || question.among->contains(endpoint.entry.id));
+    return acceptsRequests(endpoint, query.service) && !endpoint.addressReused
+        && !query.tried.contains(endpoint.entry.id)
+        && !query.excludedVersions.contains(endpoint.entry.version)
+        && (!query.restrictedTo || query.restrictedTo->contains(endpoint.entry.id));
 }
 
-bool EndpointFleet::hasRoom(const FleetEndpoint &endpoint, const PlacementQuestion &question)
+bool EndpointFleet::hasFreeSlot(const FleetEndpoint &endpoint, const PlacementQuery &query)
 {
-    return endpoint.running + endpoint.peersRunning < placesOf(endpoint, question);
+    return endpoint.running + endpoint.peersRunning < slotsOf(endpoint, query);
 }
 
-bool EndpointFleet::isAwake(const FleetEndpoint &endpoint, TimeMs now) const
+bool EndpointFleet::isResponsive(const FleetEndpoint &endpoint, TimeMs now) const
 {
     return endpoint.avoidUntil <= now && !isSilent(endpoint, now);
 }
 
 // The preferred endpoint of a shared part is expected to have it cached even if this daemon never sent it
 // there, since all daemons rank alike. Rate-limited endpoints are preferred only if there are no others.
-const FleetEndpoint *EndpointFleet::homeOf(const PlacementQuestion &question, TimeMs now) const
+const FleetEndpoint *EndpointFleet::preferredEndpoint(const PlacementQuery &query, TimeMs now) const
 {
-    const std::string key = question.engine ? sharedKey(*question.request) : std::string();
+    const std::string key = query.engine ? sharedKey(*query.request) : std::string();
     if (key.empty())
         return nullptr;
-    const FleetEndpoint *home = nullptr;
-    std::pair<bool, uint64_t> most;
+    const FleetEndpoint *preferred = nullptr;
+    std::pair<bool, uint64_t> bestRank;
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_) {
-        if (!mayTake(entry.second, question) || entry.second.endedUntil > now)
+        if (!isEligible(entry.second, query) || entry.second.crashedUntil > now)
             continue;
         const std::pair<bool, uint64_t> rank{!entry.second.limiter.isLimited(),
                                              rendezvousWeight(key, entry.first)};
-        if (!home || rank > most) {
-            home = &entry.second;
-            most = rank;
+        if (!preferred || rank > bestRank) {
+            preferred = &entry.second;
+            bestRank = rank;
         }
     }
-    return home;
+    return preferred;
 }
 
 // The cost is the expected time until the request's own prefill is done, plus the delay it causes to other
 // requests there.
-EndpointFleet::PricedChoice EndpointFleet::priced(const FleetEndpoint &endpoint, bool isHome,
-                                                  const PlacementQuestion &question)
+EndpointFleet::ChoiceWithCost EndpointFleet::withCost(const FleetEndpoint &endpoint, bool isPreferred,
+                                                      const PlacementQuery &query)
 {
-    PricedChoice out;
+    ChoiceWithCost out;
     PlacementChoice &choice = out.choice;
     double &cost = out.cost;
     choice.endpoint = endpoint.entry.id;
-    if (question.engine) {
-        const uint64_t total = std::max<uint64_t>(question.request->promptTokens, 1);
-        const uint64_t seen = cachedTokens(endpoint, *question.request);
-        const uint64_t cached = isHome ? std::max(seen, sharedTokens(*question.request)) : seen;
-        const uint64_t toRead = total - std::min(cached, total - 1);
-        choice.prefillTokens = question.isCold ? total - std::min(seen, total - 1) : toRead;
+    if (query.engine) {
+        const uint64_t total = std::max<uint64_t>(query.request->promptTokens, 1);
+        const uint64_t knownCached = cachedTokens(endpoint, *query.request);
+        const uint64_t cached
+            = isPreferred ? std::max(knownCached, sharedTokens(*query.request)) : knownCached;
+        const uint64_t uncachedTokens = total - std::min(cached, total - 1);
+        choice.prefillTokens = query.isCold ? total - std::min(knownCached, total - 1) : uncachedTokens;
         choice.waitMs = (static_cast<double>(endpoint.prefillTokens) + endpoint.peersPrefillTokens)
             / PrefillTokensPerMs;
-        cost = choice.waitMs + ReadingAgainWeight * static_cast<double>(toRead) / PrefillTokensPerMs
+        cost = choice.waitMs + PrefillCostFactor * static_cast<double>(uncachedTokens) / PrefillTokensPerMs
             + RunningPenaltyMs * (endpoint.running + endpoint.peersRunning);
     } else {
         // By share of slots in use; at equal load the own failure domain is preferred.
-        cost = 100.0 * (endpoint.running + endpoint.peersRunning) / placesOf(endpoint, question)
-            + (endpoint.entry.failureDomain == question.ownDomain ? 0 : 1);
+        cost = 100.0 * (endpoint.running + endpoint.peersRunning) / slotsOf(endpoint, query)
+            + (endpoint.entry.failureDomain == query.ownDomain ? 0 : 1);
     }
     cost += FailurePenaltyMs * endpoint.failureShare + (endpoint.listed ? 0 : UnlistedPenaltyMs);
     // Ties are broken by the request id, so that daemons don't all choose the same endpoint.
-    cost += static_cast<double>(rendezvousWeight(question.request->id, endpoint.entry.id) >> 40U) * 1e-9;
+    cost += static_cast<double>(rendezvousWeight(query.request->id, endpoint.entry.id) >> 40U) * 1e-9;
     return out;
 }
 
-PlacementResult EndpointFleet::choose(const PlacementQuestion &question, TimeMs now) const
+PlacementResult EndpointFleet::choose(const PlacementQuery &query, TimeMs now) const
 {
     PlacementResult result;
-    const FleetEndpoint *home = homeOf(question, now);
-    const bool anyAwake = std::any_of(endpoints_.begin(), endpoints_.end(),
-                                      [&](const std::pair<const EndpointId, FleetEndpoint> &entry) {
-                                          return mayTake(entry.second, question) && isAwake(entry.second, now)
-                                              && entry.second.limiter.maySend(now);
-                                      });
+    const FleetEndpoint *preferred = preferredEndpoint(query, now);
+    const bool anyResponsive = std::any_of(
+        endpoints_.begin(), endpoints_.end(), [&](const std::pair<const EndpointId, FleetEndpoint> &entry) {
+            return isEligible(entry.second, query) && isResponsive(entry.second, now)
+                && entry.second.limiter.maySend(now);
+        });
     double bestCost = std::numeric_limits<double>::max();
     double bestLimitedCost = std::numeric_limits<double>::max();
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_) {
         const FleetEndpoint &endpoint = entry.second;
-        if (!mayTake(endpoint, question))
+        if (!isEligible(endpoint, query))
             continue;
         result.problem = PlacementProblem::AllBusy;
-        if (!hasRoom(endpoint, question) || (anyAwake && !isAwake(endpoint, now)))
+        if (!hasFreeSlot(endpoint, query) || (anyResponsive && !isResponsive(endpoint, now)))
             continue;
-        const PricedChoice found = priced(endpoint, &endpoint == home, question);
+        const ChoiceWithCost found = withCost(endpoint, &endpoint == preferred, query);
         if (!endpoint.limiter.maySend(now)) {
             if (found.cost < bestLimitedCost) {
                 bestLimitedCost = found.cost;
-                result.heldBack = endpoint.life();
+                result.limitedEndpoint = endpoint.incarnation();
             }
         } else if (found.cost < bestCost) {
             bestCost = found.cost;
@@ -338,13 +342,13 @@
         }
     }
     if (bestCost <= bestLimitedCost)
-        result.heldBack.reset();
-    if (result.choice && question.mostWaitMs > 0 && result.choice->waitMs >= question.mostWaitMs)
+        result.limitedEndpoint.reset();
+    if (result.choice && query.maxWaitMs > 0 && result.choice->waitMs >= query.maxWaitMs)
         result.choice.reset();
     return result;
 }
 
-void EndpointFleet::started(const PlacementChoice &choice, const PlacementQuestion &question, TimeMs now)
+void EndpointFleet::attemptStarted(const PlacementChoice &choice, const PlacementQuery &query, TimeMs now)
 {
     const auto found = endpoints_.find(choice.endpoint);
     if (found == endpoints_.end())
@@ -354,90 +358,90 @@
     if (!choice.isReserved)
         endpoint.limiter.sent(now);
     endpoint.prefillTokens += choice.prefillTokens;
-    if (!question.engine)
+    if (!query.engine)
         return;
-    for (const PromptPart &part : question.request->parts)
+    for (const PromptPart &part : query.request->parts)
         endpoint.cachedParts[part.id] = now;
     if (endpoint.cachedParts.size() > MaxCachedParts)
         std::erase_if(endpoint.cachedParts, [now](const std::pair<const std::string, TimeMs> &part) {
-            return now - part.second > CacheMemory / 4;
+            return now - part.second > CachedPartRetention / 4;
         });
 }
 
-void EndpointFleet::firstByte(const EndpointLife &life, uint64_t prefillTokens)
+void EndpointFleet::firstByte(const EndpointIncarnation &incarnation, uint64_t prefillTokens)
 {
-    if (FleetEndpoint *endpoint = at(life))
+    if (FleetEndpoint *endpoint = at(incarnation))
         endpoint->prefillTokens -= std::min(endpoint->prefillTokens, prefillTokens);
 }
 
-void EndpointFleet::streamBegan(const EndpointLife &life)
+void EndpointFleet::streamStarted(const EndpointIncarnation &incarnation)
 {
-    if (FleetEndpoint *endpoint = at(life))
+    if (FleetEndpoint *endpoint = at(incarnation))
         ++endpoint->streaming;
 }
 
-void EndpointFleet::heard(const EndpointLife &life, TimeMs now)
+void EndpointFleet::bytesReceived(const EndpointIncarnation &incarnation, TimeMs now)
 {
-    if (FleetEndpoint *endpoint = at(life))
-        endpoint->heardAt = now;
+    if (FleetEndpoint *endpoint = at(incarnation))
+        endpoint->lastByteAt = now;
 }
 
-void EndpointFleet::finished(const EndpointLife &life, bool wasStreaming)
+void EndpointFleet::attemptFinished(const EndpointIncarnation &incarnation, bool wasStreaming)
 {
-    FleetEndpoint *endpoint = at(life);
+    FleetEndpoint *endpoint = at(incarnation);
     if (!endpoint)
         return;
     endpoint->running -= std::min(endpoint->running, 1U);
     endpoint->streaming -= std::min(endpoint->streaming, wasStreaming ? 1U : 0U);
 }
 
-void EndpointFleet::succeeded(const EndpointLife &life)
+void EndpointFleet::succeeded(const EndpointIncarnation &incarnation)
 {
-    FleetEndpoint *endpoint = at(life);
+    FleetEndpoint *endpoint = at(incarnation);
     if (!endpoint)
         return;
     endpoint->failuresInRow = 0;
     endpoint->failureShare *= 1 - FailureWeight;
 }
 
-void EndpointFleet::failed(const EndpointLife &life, TimeMs now)
+void EndpointFleet::failed(const EndpointIncarnation &incarnation, TimeMs now)
 {
-    FleetEndpoint *endpoint = at(life);
+    FleetEndpoint *endpoint = at(incarnation);
     if (!endpoint)
         return;
-    answeredWithError(life);
+    answeredWithError(incarnation);
     const uint32_t doublings = std::min(endpoint->failuresInRow, MaxAvoidanceDoublings);
     endpoint->avoidUntil = now + FirstAvoidance * (int64_t{1} << doublings);
     ++endpoint->failuresInRow;
 }
 
-void EndpointFleet::ended(const EndpointLife &life, TimeMs now)
+void EndpointFleet::crashed(const EndpointIncarnation &incarnation, TimeMs now)
 {
-    FleetEndpoint *endpoint = at(life);
+    FleetEndpoint *endpoint = at(incarnation);
     if (!endpoint)
         return;
-    endpoint->endedUntil = now + StaysListed;
-    endpoint->avoidUntil = endpoint->endedUntil;
+    endpoint->crashedUntil = now + CrashedListingTime;
+    endpoint->avoidUntil = endpoint->crashedUntil;
 }
 
 // An endpoint that answers is reachable, so it is not avoided. Some requests fail at any endpoint; when each
 // error caused an avoidance, an endpoint with every seventh answer an error stayed unused for long while the
 // others were full.
-void EndpointFleet::answeredWithError(const EndpointLife &life)
+void EndpointFleet::answeredWithError(const EndpointIncarnation &incarnation)
 {
-    if (FleetEndpoint *endpoint = at(life))
+    if (FleetEndpoint *endpoint = at(incarnation))
         endpoint->failureShare += FailureWeight * (1 - endpoint->failureShare);
 }
 
-void EndpointFleet::wrongInstance(const EndpointLife &life)
+void EndpointFleet::wrongInstance(const EndpointIncarnation &incarnation)
 {
-    if (FleetEndpoint *endpoint = at(life))
-        endpoint->avoidedForGood = true;
+    if (FleetEndpoint *endpoint = at(incarnation))
+        endpoint->addressReused = true;
 }
 
-void EndpointFleet::reserve(const EndpointLife &life, TimeMs now)
+void EndpointFleet::reserve(const EndpointIncarnation &incarnation, TimeMs now)
 {
-    if (EndpointLimiter *known = limiter(life))
+    if (EndpointLimiter *known = limiter(incarnation))
         known->sent(now);
 }
 
@@ -451,15 +455,15 @@
     return out;
 }
 
-EndpointLimiter *EndpointFleet::limiter(const EndpointLife &life)
+EndpointLimiter *EndpointFleet::limiter(const EndpointIncarnation &incarnation)
 {
-    FleetEndpoint *endpoint = at(life);
+    FleetEndpoint *endpoint = at(incarnation);
     return endpoint ? &endpoint->limiter : nullptr;
 }
 
-void EndpointFleet::leaves(const EndpointLife &life, DurationMs after, TimeMs now)
+void EndpointFleet::setLeaving(const EndpointIncarnation &incarnation, DurationMs after, TimeMs now)
 {
-    FleetEndpoint *endpoint = at(life);
+    FleetEndpoint *endpoint = at(incarnation);
     if (!endpoint || endpoint->entry.leaving)
         return;
     endpoint->entry.leaving = true;
@@ -470,14 +474,14 @@
 std::vector<EndpointEntry> EndpointFleet::dueProbes(TimeMs now)
 {
     std::vector<EndpointEntry> due;
-    const bool listIsOld = now - listedAt_ >= ListTooOld;
-    if (!known_)
+    const bool listIsOld = now - listedAt_ >= StaleListAge;
+    if (!hasList_)
         return due;
     for (std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_) {
         FleetEndpoint &endpoint = entry.second;
         if (!listIsOld && endpoint.readable)
             continue;
-        if (endpoint.streaming == 0 || endpoint.entry.leaving || now - endpoint.probedAt < ProbePace)
+        if (endpoint.streaming == 0 || endpoint.entry.leaving || now - endpoint.probedAt < ProbeInterval)
             continue;
         endpoint.probedAt = now;
         due.push_back(endpoint.entry);
@@ -488,13 +492,14 @@
 // A report is a snapshot, and an engine prefills a prompt in less time than passes until the next report.
 // Without averaging, a shared prompt would leave its preferred endpoint because of a queue that is already
 // gone, and be prefilled again elsewhere.
-void EndpointFleet::setPeersLoad(const std::map<EndpointLife, EndpointLoad> &sums, TimeMs now)
+void EndpointFleet::setPeersLoad(const std::map<EndpointIncarnation, EndpointLoad> &sums, TimeMs now)
 {
-    const double weight = std::min(
-        1.0, static_cast<double>((now - peersLoadAt_).count) / static_cast<double>(PeersPrefillMean.count));
+    const double weight = std::min(1.0,
+                                   static_cast<double>((now - peersLoadAt_).count)
+                                       / static_cast<double>(PeersPrefillTimeConstant.count));
     peersLoadAt_ = now;
     for (std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_) {
-        const auto found = sums.find(entry.second.life());
+        const auto found = sums.find(entry.second.incarnation());
         entry.second.peersRunning = found == sums.end() ? 0 : found->second.running;
         const double newest = found == sums.end() ? 0 : static_cast<double>(found->second.prefillTokens);
         entry.second.peersPrefillTokens += weight * (newest - entry.second.peersPrefillTokens);
@@ -506,7 +511,7 @@
 {
     std::map<uint64_t, EndpointId> byWeight;
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_) {
-        if (takesWork(entry.second, service) && entry.second.entry.version == version)
+        if (acceptsRequests(entry.second, service) && entry.second.entry.version == version)
             byWeight[rendezvousWeight(version.value, entry.first)] = entry.first;
     }
     std::vector<EndpointId> out;
@@ -516,17 +521,19 @@
     return out;
 }
 
-bool EndpointFleet::isInUse(const FleetEndpoint &endpoint) const
+bool EndpointFleet::isVersionActive(const FleetEndpoint &endpoint) const
 {
-    const auto found = outOfUse_.find(endpoint.entry.service);
-    return found == outOfUse_.end() || !found->second.contains(endpoint.entry.version);
+    const auto found = inactiveVersions_.find(endpoint.entry.service);
+    return found == inactiveVersions_.end() || !found->second.contains(endpoint.entry.version);
 }
 
-uint32_t EndpointFleet::places(const ServiceName &service) const
+uint32_t EndpointFleet::totalSlots(const ServiceName &service) const
 {
     uint32_t sum = 0;
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_)
-        sum += takesWork(entry.second, service) && isInUse(entry.second) ? entry.second.entry.slots : 0;
+        sum += acceptsRequests(entry.second, service) && isVersionActive(entry.second)
+            ? entry.second.entry.slots
+            : 0;
     return sum;
 }
 
@@ -535,7 +542,7 @@
     ServiceLimit out;
     bool any = false;
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_) {
-        if (!takesWork(entry.second, service) || !isInUse(entry.second))
+        if (!acceptsRequests(entry.second, service) || !isVersionActive(entry.second))
             continue;
         const EndpointLimiter &limiter = entry.second.limiter;
         if (!limiter.isLimited())
@@ -547,11 +554,12 @@
     return any ? std::optional<ServiceLimit>(out) : std::nullopt;
 }
 
-uint32_t EndpointFleet::count(const ServiceName &service) const
+uint32_t EndpointFleet::unlimitedCount(const ServiceName &service) const
 {
     uint32_t sum = 0;
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : endpoints_)
-        sum += takesWork(entry.second, service) && isInUse(entry.second) && !entry.second.limiter.isLimited()
+        sum += acceptsRequests(entry.second, service) && isVersionActive(entry.second)
+                && !entry.second.limiter.isLimited()
             ? 1
             : 0;
     return sum;
@@ -563,10 +571,10 @@
     return found == endpoints_.end() ? nullptr : &found->second;
 }
 
-const FleetEndpoint *EndpointFleet::find(const EndpointLife &life) const
+const FleetEndpoint *EndpointFleet::find(const EndpointIncarnation &incarnation) const
 {
-    const FleetEndpoint *endpoint = find(life.id);
-    return endpoint && endpoint->entry.start == life.start ? endpoint : nullptr;
+    const FleetEndpoint *endpoint = find(incarnation.id);
+    return endpoint && endpoint->entry.start == incarnation.start ? endpoint : nullptr;
 }
 
 } // namespace cranberry
--- a/src/gateway/endpoints/endpointfleet.h
+++ b/src/gateway/endpoints/endpointfleet.h
@@ -13,12 +13,12 @@
     EndpointEntry entry; ///< The newest readable entry.
     /// False: its newest entry can't be read. It gets no new requests; running ones continue.
     bool readable = true;
-    TimeMs startedAgainAt; ///< When this incarnation was learned of; not set for the first known one.
+    TimeMs restartedAt; ///< When this incarnation was learned of; not set for the first known one.
     TimeMs listedAt; ///< Lower bound of the time at which the list last contained it.
     bool listed = true; ///< Contained in the newest list.
     bool gone = false; ///< Missing from the list for longer than the grace time.
     std::optional<TimeMs> leavesAt; ///< Expected exit time of a leaving endpoint.
-    bool avoidedForGood = false; ///< Another endpoint answered at its address.
+    bool addressReused = false; ///< Another endpoint answered at its address.
 
     uint32_t running = 0; ///< Open attempts of this daemon.
     uint64_t prefillTokens = 0; ///< Prefill tokens of this daemon's attempts that have not had a first event.
@@ -29,35 +29,35 @@
     TimeMs probedAt;
     /// Time of the last byte on any of this daemon's streams, or of the first event when the first stream
     /// started.
-    TimeMs heardAt;
+    TimeMs lastByteAt;
 
     double failureShare = 0; ///< Moving average over recent attempts, 0 to 1.
     uint32_t failuresInRow = 0;
     TimeMs avoidUntil;
-    TimeMs endedUntil; ///< Its process exited; the list drops its entry by this time.
+    TimeMs crashedUntil; ///< Its process exited; the list drops its entry by this time.
 
     EndpointLimiter limiter;
     /// Prompt parts prefilled here, as prefix chains by the id of the last part, with the time of last use.
     std::map<std::string, TimeMs> cachedParts;
 
-    EndpointLife life() const { return {entry.id, entry.start}; }
+    EndpointIncarnation incarnation() const { return {entry.id, entry.start}; }
 };
 
 /// The properties of a request that endpoint selection depends on.
-struct PlacementQuestion {
+struct PlacementQuery {
     ServiceName service;
     const EngineFigures *engine = nullptr; ///< nullptr for a plain service.
     const CallerRequest *request = nullptr;
     std::set<EndpointId> tried; ///< Endpoints that are not tried again.
     FailureDomainName ownDomain;
-    std::set<SoftwareVersion> barred; ///< Versions whose endpoints are excluded.
-    std::optional<std::set<EndpointId>> among; ///< If set, only these endpoints are considered.
+    std::set<SoftwareVersion> excludedVersions; ///< Versions whose endpoints are excluded.
+    std::optional<std::set<EndpointId>> restrictedTo; ///< If set, only these endpoints are considered.
     /// The endpoints are new: a shared part needs prefill wherever this daemon has not sent it, also at its
     /// preferred endpoint.
     bool isCold = false;
     /// Engines with an expected wait of at least this are not chosen until their queue is shorter; 0 means no
     /// bound.
-    double mostWaitMs = 0;
+    double maxWaitMs = 0;
 };
 
 struct PlacementChoice {
@@ -74,7 +74,7 @@
     std::optional<PlacementChoice> choice;
     PlacementProblem problem = PlacementProblem::NoEndpoint;
     /// Endpoint that would have been chosen if its rate limit allowed it.
-    std::optional<EndpointLife> heldBack;
+    std::optional<EndpointIncarnation> limitedEndpoint;
 };
 
 /// Combined rate limit of a service all of whose endpoints state limits.
@@ -90,48 +90,48 @@
     /// Sets the time for which leaving endpoints continue to serve at least, if they state no other.
     void setDrainTime(DurationMs time) { drainTime_ = time; }
     /// Applies a complete list. Entries that are missing after an interruption of the list get a grace time.
-    void take(const EndpointsRead &read, TimeMs now);
+    void applyList(const EndpointsRead &read, TimeMs now);
     void tick(TimeMs now);
 
     /// Sets the versions of each service that currently get none of its requests; their endpoints don't count
     /// towards its capacity.
-    void setOutOfUse(std::map<ServiceName, std::set<SoftwareVersion>> versions)
+    void setInactiveVersions(std::map<ServiceName, std::set<SoftwareVersion>> versions)
     {
-        outOfUse_ = std::move(versions);
+        inactiveVersions_ = std::move(versions);
     }
-    bool isInUse(const FleetEndpoint &endpoint) const;
-    PlacementResult choose(const PlacementQuestion &question, TimeMs now) const;
+    bool isVersionActive(const FleetEndpoint &endpoint) const;
+    PlacementResult choose(const PlacementQuery &query, TimeMs now) const;
 
-    void started(const PlacementChoice &choice, const PlacementQuestion &question, TimeMs now);
+    void attemptStarted(const PlacementChoice &choice, const PlacementQuery &query, TimeMs now);
     // Outcomes of an attempt, for the endpoint incarnation that it was sent to. Those for an earlier
     // incarnation are ignored.
-    void firstByte(const EndpointLife &life, uint64_t prefillTokens);
-    void streamBegan(const EndpointLife &life);
-    void heard(const EndpointLife &life, TimeMs now);
-    void finished(const EndpointLife &life, bool wasStreaming);
+    void firstByte(const EndpointIncarnation &incarnation, uint64_t prefillTokens);
+    void streamStarted(const EndpointIncarnation &incarnation);
+    void bytesReceived(const EndpointIncarnation &incarnation, TimeMs now);
+    void attemptFinished(const EndpointIncarnation &incarnation, bool wasStreaming);
     /// Returns true if streams run at the endpoint and none of them has received a byte for longer than
     /// `pause`.
-    bool isSilent(const EndpointLife &life, DurationMs pause, TimeMs now) const;
-    void succeeded(const EndpointLife &life);
-    void failed(const EndpointLife &life, TimeMs now);
+    bool isSilent(const EndpointIncarnation &incarnation, DurationMs pause, TimeMs now) const;
+    void succeeded(const EndpointIncarnation &incarnation);
+    void failed(const EndpointIncarnation &incarnation, TimeMs now);
     /// Records that a probe found the endpoint's process exited.
-    void ended(const EndpointLife &life, TimeMs now);
+    void crashed(const EndpointIncarnation &incarnation, TimeMs now);
     /// Records an error response of the endpoint itself.
-    void answeredWithError(const EndpointLife &life);
-    void wrongInstance(const EndpointLife &life);
+    void answeredWithError(const EndpointIncarnation &incarnation);
+    void wrongInstance(const EndpointIncarnation &incarnation);
     /// Counts a request that is about to be sent to the endpoint against its limit.
-    void reserve(const EndpointLife &life, TimeMs now);
+    void reserve(const EndpointIncarnation &incarnation, TimeMs now);
     /// nullptr if this is not the newest known incarnation.
-    EndpointLimiter *limiter(const EndpointLife &life);
+    EndpointLimiter *limiter(const EndpointIncarnation &incarnation);
     /// Returns true if the endpoint has restarted since that incarnation, and data still in flight from it
     /// has had time to arrive.
-    bool isOver(const EndpointLife &life, TimeMs now) const;
+    bool isSuperseded(const EndpointIncarnation &incarnation, TimeMs now) const;
 
     /// Records the incarnation that the endpoint itself reported. Returns true if it is the newest known one.
-    bool answered(const EndpointLife &life, TimeMs now);
+    bool confirmIncarnation(const EndpointIncarnation &incarnation, TimeMs now);
     /// Records that the endpoint itself reported that it leaves.
-    void leaves(const EndpointLife &life, DurationMs after, TimeMs now);
-    void setPeersLoad(const std::map<EndpointLife, EndpointLoad> &sums, TimeMs now);
+    void setLeaving(const EndpointIncarnation &incarnation, DurationMs after, TimeMs now);
+    void setPeersLoad(const std::map<EndpointIncarnation, EndpointLoad> &sums, TimeMs now);
 
     /// Returns the engines with streams of this daemon that are due to be probed for their state, because the
     /// list is stale or their entry is unreadable.
@@ -142,58 +142,59 @@
     std::vector<EndpointId> ranked(const ServiceName &service, const SoftwareVersion &version) const;
     const FleetEndpoint *find(const EndpointId &id) const;
     /// Returns nullptr also if this is not the newest known incarnation.
-    const FleetEndpoint *find(const EndpointLife &life) const;
+    const FleetEndpoint *find(const EndpointIncarnation &incarnation) const;
     const std::map<EndpointId, FleetEndpoint> &all() const { return endpoints_; }
     /// Number of requests that the service's endpoints can run concurrently.
-    uint32_t places(const ServiceName &service) const;
+    uint32_t totalSlots(const ServiceName &service) const;
     /// Number of endpoints that take requests without a rate limit.
-    uint32_t count(const ServiceName &service) const;
+    uint32_t unlimitedCount(const ServiceName &service) const;
     /// Returns nothing if some endpoint of the service has no limit, or if there are no endpoints.
     std::optional<ServiceLimit> limitOf(const ServiceName &service, TimeMs now) const;
     /// Returns the endpoints that state a limit, or whose removed limit is still being announced to peers.
     std::vector<FleetEndpoint *> limited();
     /// Lower bound of the time at which the newest list was current.
     TimeMs listedAt() const { return listedAt_; }
-    bool known() const { return known_; }
+    bool hasList() const { return hasList_; }
     /// When the store came back from an older copy; zero if it has not.
-    TimeMs olderStoreSince() const { return eraSince_; }
+    TimeMs storeRestoredAt() const { return storeRestoredAt_; }
 
 private:
     /// Last known state of an endpoint that was removed from the list.
-    struct Departed {
-        EndpointStart start;
+    struct RemovedEndpoint {
+        EndpointStartTime start;
         bool leaving = false;
         TimeMs at;
     };
-    void takeEntry(const EndpointEntry &entry, TimeMs askedAt, TimeMs now);
-    void takeUpAgain(FleetEndpoint &endpoint, const EndpointEntry &entry, TimeMs now) const;
-    static void startAgain(FleetEndpoint &endpoint, EndpointStart start, TimeMs now);
-    FleetEndpoint *at(const EndpointLife &life);
-    static bool takesWork(const FleetEndpoint &endpoint, const ServiceName &service);
-    static bool mayTake(const FleetEndpoint &endpoint, const PlacementQuestion &question);
+    void applyEntry(const EndpointEntry &entry, TimeMs askedAt, TimeMs now);
+    void restoreRemoved(FleetEndpoint &endpoint, const EndpointEntry &entry, TimeMs now) const;
+    static void resetForRestart(FleetEndpoint &endpoint, EndpointStartTime start, TimeMs now);
+    FleetEndpoint *at(const EndpointIncarnation &incarnation);
+    static bool acceptsRequests(const FleetEndpoint &endpoint, const ServiceName &service);
+    static bool isEligible(const FleetEndpoint &endpoint, const PlacementQuery &query);
     bool isSilent(const FleetEndpoint &endpoint, TimeMs now) const;
-    bool isAwake(const FleetEndpoint &endpoint, TimeMs now) const;
-    struct PricedChoice {
+    bool isResponsive(const FleetEndpoint &endpoint, TimeMs now) const;
+    struct ChoiceWithCost {
         PlacementChoice choice;
         double cost = 0;
     };
-    const FleetEndpoint *homeOf(const PlacementQuestion &question, TimeMs now) const;
-    static PricedChoice priced(const FleetEndpoint &endpoint, bool isHome, const PlacementQuestion &question);
-    static bool hasRoom(const FleetEndpoint &endpoint, const PlacementQuestion &question);
+    const FleetEndpoint *preferredEndpoint(const PlacementQuery &query, TimeMs now) const;
+    static ChoiceWithCost withCost(const FleetEndpoint &endpoint, bool isPreferred,
+                                   const PlacementQuery &query);
+    static bool hasFreeSlot(const FleetEndpoint &endpoint, const PlacementQuery &query);
 
     std::map<EndpointId, FleetEndpoint> endpoints_;
     TimeMs listedAt_;
     DurationMs drainTime_{2000};
     TimeMs tickedAt_;
     /// End of the last pause of this process. Data that others sent during it may still be unread.
-    TimeMs wokeAt_;
-    TimeMs regainedAt_; ///< End of the last interruption of the list.
+    TimeMs resumedAt_;
+    TimeMs listRegainedAt_; ///< End of the last interruption of the list.
     TimeMs peersLoadAt_;
-    bool known_ = false;
+    bool hasList_ = false;
     uint64_t era_ = 0; ///< Era of the store that the newest list came from.
-    TimeMs eraSince_; ///< When the era last rose; zero if it has not.
-    std::map<EndpointId, Departed> departed_; ///< Endpoints that were removed recently.
-    std::map<ServiceName, std::set<SoftwareVersion>> outOfUse_;
+    TimeMs storeRestoredAt_; ///< When the era last rose; zero if it has not.
+    std::map<EndpointId, RemovedEndpoint> removed_; ///< Endpoints that were removed recently.
+    std::map<ServiceName, std::set<SoftwareVersion>> inactiveVersions_;
 };
 
 /// Rendezvous hashing weight of `id` for `key`: all daemons rank the endpoints of a key alike.
--- a/src/gateway/endpoints/endpointlist.cpp
+++ b/src/gateway/endpoints/endpointlist.cpp
@@ -10,7 +10,7 @@
 
 /// The list changes every half second at most, and daemons query more often than that, so a daemon that lost
 /// several replies still finds its version.
-constexpr size_t MostSteps = 16;
+constexpr size_t MaxSteps = 16;
 
 // Serializes the fields whose changes daemons must receive. Other fields change without being sent.
 std::string digestedText(const EndpointEntry &entry)
@@ -60,7 +60,7 @@
     const uint64_t digest = digestOfEntries(entries);
     if (digest != digest_) {
         steps_.push_back({digest_, differences(entries_, entries)});
-        if (steps_.size() > MostSteps)
+        if (steps_.size() > MaxSteps)
             steps_.pop_front();
     }
     entries_ = std::move(entries);
@@ -81,8 +81,7 @@
     return true;
 }
 
-bool EndpointList::takePart(uint64_t digest, size_t from, size_t total,
-                            const std::vector<EndpointEntry> &part)
+bool EndpointList::addPart(uint64_t digest, size_t from, size_t total, const std::vector<EndpointEntry> &part)
 {
     if (digest != partsDigest_ || from == 0)
         parts_.clear();
@@ -96,7 +95,7 @@
     return digest_ == digest;
 }
 
-std::optional<EndpointChanges> EndpointList::since(uint64_t base) const
+std::optional<EndpointChanges> EndpointList::changesSince(uint64_t base) const
 {
     const auto first = std::find_if(steps_.rbegin(), steps_.rend(),
                                     [base](const Step &step) { return step.before == base; });
--- a/src/gateway/endpoints/endpointlist.h
+++ b/src/gateway/endpoints/endpointlist.h
@@ -24,12 +24,12 @@
     /// Adds a part of version `digest`, which has `total` entries. Returns true if the part completes the
     /// version, which then becomes the list. Parts must arrive in order; one that does not is dropped with
     /// those before it.
-    bool takePart(uint64_t digest, size_t from, size_t total, const std::vector<EndpointEntry> &part);
+    bool addPart(uint64_t digest, size_t from, size_t total, const std::vector<EndpointEntry> &part);
 
     const std::vector<EndpointEntry> &entries() const { return entries_; } ///< Sorted by id.
     uint64_t digest() const { return digest_; } ///< 0 if there is no list yet.
     /// Returns the changes for a daemon that has version `base`, or nothing if that version is too old.
-    std::optional<EndpointChanges> since(uint64_t base) const;
+    std::optional<EndpointChanges> changesSince(uint64_t base) const;
 
 private:
     struct Step {
--- a/src/gateway/endpoints/endpointprobes.cpp
+++ b/src/gateway/endpoints/endpointprobes.cpp
@@ -4,23 +4,23 @@
 
 namespace cranberry {
 
-bool EndpointQuestions::add(const EndpointLife &life, BrokenAttempt broken, TimeMs now)
+bool EndpointProbes::add(const EndpointIncarnation &incarnation, InterruptedAttempt attempt, TimeMs now)
 {
-    const auto [question, isNew] = open_.try_emplace(life, Question{now, {}});
-    question->second.broken.push_back(std::move(broken));
+    const auto [probe, isNew] = pending_.try_emplace(incarnation, PendingProbe{now, {}});
+    probe->second.attempts.push_back(std::move(attempt));
     return isNew;
 }
 
 // A reply from a process that started later shows that the probed one has exited.
-std::optional<EndpointQuestions::Answered> EndpointQuestions::take(const EngineProbed &event)
+std::optional<EndpointProbes::ProbeResult> EndpointProbes::take(const EngineProbed &event)
 {
-    const auto found = open_.lower_bound({event.endpoint, {}});
-    if (found == open_.end() || found->first.id != event.endpoint)
+    const auto found = pending_.lower_bound({event.endpoint, {}});
+    if (found == pending_.end() || found->first.id != event.endpoint)
         return std::nullopt;
-    Answered out{found->first, found->second.askedAt, std::move(found->second.broken), event.process};
-    open_.erase(found);
-    if (event.answered && event.start > out.life.start)
-        out.process = EndpointProcess::Ended;
+    ProbeResult out{found->first, found->second.askedAt, std::move(found->second.attempts), event.process};
+    pending_.erase(found);
+    if (event.answered && event.start > out.incarnation.start)
+        out.process = EndpointProcess::Exited;
     return out;
 }
 
--- a/src/gateway/endpoints/endpointprobes.h
+++ b/src/gateway/endpoints/endpointprobes.h
@@ -7,12 +7,12 @@
 namespace cranberry {
 
 /// An attempt that was interrupted at an endpoint that is being probed.
-struct BrokenAttempt {
+struct InterruptedAttempt {
     CallerId caller;
     std::string requestId;
     RequestDigest digest;
     std::optional<TimeMs> firstEventAt;
-    bool waits = false; ///< Its request is retried only after the probe's result.
+    bool retryAfterProbe = false; ///< Its request is retried only after the probe's result.
 };
 
 /// Distinguishes endpoints that crash under their requests from failed connections.
@@ -20,28 +20,28 @@
 /// All attempts at an endpoint that crashes are interrupted within milliseconds of each other, so one probe
 /// on a new connection serves all of them. Without a probe a failed connection, and an endpoint that drops a
 /// single request by its own fault, look the same as a crash.
-class EndpointQuestions
+class EndpointProbes
 {
 public:
     /// Returns true if the endpoint has to be probed now; otherwise the pending probe also covers this
     /// attempt.
-    bool add(const EndpointLife &life, BrokenAttempt broken, TimeMs now);
+    bool add(const EndpointIncarnation &incarnation, InterruptedAttempt attempt, TimeMs now);
 
-    struct Answered {
-        EndpointLife life;
+    struct ProbeResult {
+        EndpointIncarnation incarnation;
         TimeMs askedAt;
-        std::vector<BrokenAttempt> broken;
+        std::vector<InterruptedAttempt> attempts;
         EndpointProcess process = EndpointProcess::Unknown;
     };
     /// Returns the result of the pending probe, or nothing if none was pending.
-    std::optional<Answered> take(const EngineProbed &event);
+    std::optional<ProbeResult> take(const EngineProbed &event);
 
 private:
-    struct Question {
+    struct PendingProbe {
         TimeMs askedAt;
-        std::vector<BrokenAttempt> broken;
+        std::vector<InterruptedAttempt> attempts;
     };
-    std::map<EndpointLife, Question> open_;
+    std::map<EndpointIncarnation, PendingProbe> pending_;
 };
 
 } // namespace cranberry
--- a/src/gateway/endpoints/limitshares.cpp
+++ b/src/gateway/endpoints/limitshares.cpp
@@ -8,20 +8,20 @@
 namespace {
 
 /// A daemon that has not repeated its share request within this time no longer waits.
-constexpr DurationMs DemandLife{300};
+constexpr DurationMs DemandTtl{300};
 /// Longer than a grant of the previous coordinator may be in flight and then remain unused.
 constexpr DurationMs HandoverPause{2000};
 /// The bucket holds at most this many seconds of the rate, and at least one request.
-constexpr double MostSavedSeconds = 0.5;
+constexpr double MaxSavedSeconds = 0.5;
 
 } // namespace
 
-void LimitShares::begin(bool others, TimeMs now)
+void LimitShares::begin(bool hadPredecessor, TimeMs now)
 {
     isOn_ = true;
     tokens_ = 0;
     demands_.clear();
-    filledAt_ = others ? now + HandoverPause : now;
+    filledAt_ = hadPredecessor ? now + HandoverPause : now;
 }
 
 void LimitShares::end()
@@ -30,12 +30,12 @@
     demands_.clear();
 }
 
-void LimitShares::ask(const Address &from, const LimitAsk &ask, TimeMs now)
+void LimitShares::recordRequest(const Address &from, const LimitShareRequest &ask, TimeMs now)
 {
-    note({from, ask.number, ask.waiting, now, now, 0, false});
+    updateDemand({from, ask.number, ask.waiting, now, now, 0, false});
 }
 
-void LimitShares::note(const Demand &demand)
+void LimitShares::updateDemand(const Demand &demand)
 {
     const auto known = std::find_if(demands_.begin(), demands_.end(),
                                     [&demand](const Demand &each) { return each.from == demand.from; });
@@ -54,7 +54,7 @@
     if (now <= filledAt_)
         return;
     const double seconds = static_cast<double>((now - filledAt_).count) / 1000.0;
-    tokens_ = std::min(std::max(1.0, perSecond * MostSavedSeconds), tokens_ + perSecond * seconds);
+    tokens_ = std::min(std::max(1.0, perSecond * MaxSavedSeconds), tokens_ + perSecond * seconds);
     filledAt_ = now;
 }
 
@@ -70,12 +70,12 @@
 
 // Each share request gets a reply even if nothing is granted, so that its daemon learns how many requests
 // wait.
-LimitShares::Shared LimitShares::share(double perSecond, uint32_t wanted, bool isIdle, TimeMs now)
+LimitShares::Distribution LimitShares::distribute(double perSecond, uint32_t wanted, bool isIdle, TimeMs now)
 {
     fill(perSecond, now);
-    note({std::nullopt, 0, wanted, now, now, 0, true});
-    std::erase_if(demands_, [now](const Demand &demand) { return now - demand.heardAt > DemandLife; });
-    Shared out;
+    updateDemand({std::nullopt, 0, wanted, now, now, 0, true});
+    std::erase_if(demands_, [now](const Demand &demand) { return now - demand.requestedAt > DemandTtl; });
+    Distribution out;
     for (Demand *next = longestWaiting(); next && tokens_ >= 1; next = longestWaiting()) {
         tokens_ -= 1;
         --next->waiting;
@@ -87,7 +87,7 @@
         if (!demand.from)
             out.own += granted;
         else if (granted > 0 || !std::exchange(demand.isAnswered, true))
-            out.others.push_back({*demand.from, demand.ask, granted});
+            out.others.push_back({*demand.from, demand.requestNumber, granted});
     }
     if (isIdle && out.own == 0 && tokens_ >= 1) {
         tokens_ -= 1;
--- a/src/gateway/endpoints/quarantine.h
+++ b/src/gateway/endpoints/quarantine.h
@@ -5,9 +5,9 @@
 namespace cranberry {
 
 /// Where a daemon learned that a request is quarantined.
-enum class VerdictSource : uint8_t { Own, Peer, Store };
+enum class QuarantineSource : uint8_t { Own, Peer, Store };
 
-const char *toText(VerdictSource source);
+const char *toText(QuarantineSource source);
 
 /// The quarantined requests as this daemon knows them, and the notices that are due to be sent to peers.
 class Quarantine
@@ -19,26 +19,26 @@
     // in milliseconds.
 
     // Incoming information. Each function returns the requests that are newly quarantined.
-    std::vector<RequestDigest> takeLosses(const std::vector<EndpointLoss> &losses, VerdictSource source,
-                                          TimeMs now);
-    std::vector<RequestDigest> takeList(const std::vector<QuarantinedRequest> &list, int64_t wallOffset,
-                                        TimeMs now);
+    std::vector<RequestDigest> applyCrashes(const std::vector<EndpointCrash> &losses, QuarantineSource source,
+                                            TimeMs now);
+    std::vector<RequestDigest> applyQuarantined(const std::vector<QuarantinedRequest> &list,
+                                                int64_t wallOffset, TimeMs now);
     /// Records an answer that this daemon received; peers will be notified.
-    void answered(RequestDigest request, TimeMs now);
-    void answeredElsewhere(RequestDigest request, TimeMs now) { suspects_.answered(request, now); }
+    void onOwnAnswer(RequestDigest request, TimeMs now);
+    void onPeerAnswer(RequestDigest request, TimeMs now) { suspects_.recordAnswer(request, now); }
 
     // Outgoing information.
 
     /// Returns the notice due at this tick: answered requests, and quarantines that are sent repeatedly.
-    std::optional<CrashNotice> due(int64_t wallOffset, TimeMs now);
+    std::optional<CrashNotice> dueNotice(int64_t wallOffset, TimeMs now);
     /// Returns everything known, for a daemon that starts to serve; nothing if there is nothing to send.
-    std::optional<CrashNotice> forNewcomer(int64_t wallOffset, TimeMs now);
+    std::optional<CrashNotice> noticeForNewDaemon(int64_t wallOffset, TimeMs now);
     /// Returns the quarantines, for the store and for daemons that query them.
     const std::vector<QuarantinedRequest> &list(int64_t wallOffset, TimeMs now);
 
 private:
     /// A quarantine that is sent to peers again.
-    struct Retelling {
+    struct Resend {
         RequestDigest request;
         TimeMs at;
         uint32_t left = 0; ///< Remaining sends, including this one.
@@ -46,12 +46,12 @@
 
     CrashSuspects suspects_;
     std::vector<RequestDigest> answered_; ///< Answered requests that peers have not been notified of.
-    std::vector<Retelling> retellings_;
+    std::vector<Resend> resends_;
     std::vector<QuarantinedRequest> list_; ///< Built for version `listVersion_` of the suspects.
     uint64_t listVersion_ = 0;
 };
 
 /// Splits the crashes into notices that fit into a datagram each.
-std::vector<CrashNotice> noticesOf(const std::vector<EndpointLoss> &losses);
+std::vector<CrashNotice> crashNotices(const std::vector<EndpointCrash> &losses);
 
 } // namespace cranberry
--- a/src/gateway/endpoints/quarantinelist.cpp
+++ b/src/gateway/endpoints/quarantinelist.cpp
@@ -64,7 +64,7 @@
     std::stable_sort(out.begin(), out.end(), [](const QuarantinedRequest &x, const QuarantinedRequest &y) {
         return x.untilWallMs > y.untilWallMs;
     });
-    out.resize(std::min(out.size(), MostQuarantinedTold));
+    out.resize(std::min(out.size(), MaxQuarantinedSent));
     return out;
 }
 
--- a/src/gateway/endpoints/quarantinelist.h
+++ b/src/gateway/endpoints/quarantinelist.h
@@ -7,7 +7,7 @@
 namespace cranberry {
 
 /// Max quarantined requests in one message: 36 B each, read by some daemons with each poll of the store.
-constexpr size_t MostQuarantinedTold = 64;
+constexpr size_t MaxQuarantinedSent = 64;
 
 /// Converts between quarantined requests and rows of digest and end time. Parsing returns nothing if any row
 /// is invalid.
--- a/src/gateway/endpoints/statedlimit.cpp
+++ b/src/gateway/endpoints/statedlimit.cpp
@@ -7,68 +7,71 @@
 
 namespace {
 
-constexpr uint32_t ClearsToLift = 4;
-constexpr double LeastPerSecond = 0.2;
-constexpr uint32_t Tellings = 3;
-constexpr DurationMs TellAgainAfter{300};
+constexpr uint32_t AnswersToLiftLimit = 4;
+constexpr double MinPerSecond = 0.2;
+constexpr uint32_t UpdateSends = 3;
+constexpr DurationMs UpdateRepeatInterval{300};
 /// Interval of the reminders for daemons that lost all earlier updates.
-constexpr DurationMs RemindPace{5000};
+constexpr DurationMs ReminderInterval{5000};
 
 } // namespace
 
-bool StatedLimit::hear(std::optional<RequestRate> stated, TimeMs sentAt, TimeMs now)
+bool StatedLimit::updateFromAnswer(std::optional<RequestRate> stated, TimeMs sentAt, TimeMs now)
 {
-    if (!stated && sentAt < heardAt_)
+    if (!stated && sentAt < updatedAt_)
         return false;
-    const bool isNews = stated ? stated != limit_ || clears_ > 0 : limit_.has_value();
+    const bool isChanged = stated ? stated != limit_ || answersWithoutLimit_ > 0 : limit_.has_value();
     if (stated) {
         set(stated, 0, now, now);
     } else {
-        const uint32_t clears = clears_ + 1;
-        set(clears < ClearsToLift ? limit_ : std::nullopt, clears, sentAt, now);
+        const uint32_t clears = answersWithoutLimit_ + 1;
+        set(clears < AnswersToLiftLimit ? limit_ : std::nullopt, clears, sentAt, now);
     }
-    if (isNews) {
-        tellAt_ = now;
-        tellingsLeft_ = Tellings;
+    if (isChanged) {
+        nextUpdateAt_ = now;
+        updatesLeft_ = UpdateSends;
     }
-    return isNews;
+    return isChanged;
 }
 
-bool StatedLimit::learn(const LimitWord &word, TimeMs now)
+bool StatedLimit::updateFromPeer(const LimitUpdate &update, TimeMs now)
 {
-    const TimeMs heardAt = now - word.age;
-    if (heardAt <= heardAt_)
+    const TimeMs heardAt = now - update.age;
+    if (heardAt <= updatedAt_)
         return false;
-    const bool isNews = word.limit != limit_ || (word.limit && word.clears != clears_);
-    set(word.limit, word.clears, heardAt, now - word.standing);
+    const bool isNews
+        = update.limit != limit_ || (update.limit && update.responsesWithoutLimit != answersWithoutLimit_);
+    set(update.limit, update.responsesWithoutLimit, heardAt, now - update.knownFor);
     return isNews;
 }
 
 void StatedLimit::set(std::optional<RequestRate> limit, uint32_t clears, TimeMs heardAt, TimeMs standsSince)
 {
     if (!limit_)
-        standsSince_ = standsSince;
+        limitedSince_ = standsSince;
     limit_ = limit;
-    clears_ = limit ? std::min(clears, ClearsToLift) : 0;
-    heardAt_ = heardAt;
+    answersWithoutLimit_ = limit ? std::min(clears, AnswersToLiftLimit) : 0;
+    updatedAt_ = heardAt;
 }
 
 double StatedLimit::perSecond() const
 {
-    return limit_ ? std::ldexp(std::max(limit_->perSecond, LeastPerSecond), static_cast<int>(clears_)) : 0;
+    return limit_
+        ? std::ldexp(std::max(limit_->perSecond, MinPerSecond), static_cast<int>(answersWithoutLimit_))
+        : 0;
 }
 
-LimitWord StatedLimit::word(const EndpointLife &endpoint, TimeMs now) const
+LimitUpdate StatedLimit::toUpdate(const EndpointIncarnation &endpoint, TimeMs now) const
 {
-    return {endpoint, limit_, clears_, now - heardAt_, now - standsSince_};
+    return {endpoint, limit_, answersWithoutLimit_, now - updatedAt_, now - limitedSince_};
 }
 
-bool StatedLimit::isTellingDue(bool reminds, TimeMs now)
+bool StatedLimit::isUpdateDue(bool sendsReminders, TimeMs now)
 {
-    if ((tellingsLeft_ == 0 && !(reminds && limit_)) || now < tellAt_)
+    if ((updatesLeft_ == 0 && !(sendsReminders && limit_)) || now < nextUpdateAt_)
         return false;
-    tellingsLeft_ -= std::min(tellingsLeft_, 1U);
-    tellAt_ = now + (tellingsLeft_ > 0 ? TellAgainAfter : RemindPace);
+    updatesLeft_ -= std::min(updatesLeft_, 1U);
+    nextUpdateAt_ = now + (updatesLeft_ > 0 ? UpdateRepeatInterval : ReminderInterval);
     return true;
 }
 
--- a/src/gateway/exchange.h
+++ b/src/gateway/exchange.h
@@ -16,13 +16,13 @@
 /// Role of an attempt in the trial of a version.
 enum class TrialRole : uint8_t {
     Ordinary,
-    Fills, ///< Brings an endpoint to the trial load; its own response is not evaluated.
+    AddsLoad, ///< Brings an endpoint to the trial load; its own response is not evaluated.
     Loaded ///< The endpoint has the load that the trial requires.
 };
 
 /// Migration of a generation from a leaving engine to another one.
-struct RunMove {
-    EndpointLife target;
+struct GenerationMigration {
+    EndpointIncarnation target;
     Address source;
     TimeMs startedAt;
     bool sourceClosed = false; ///< The stream has ended at the source, as it does when the generation stops.
@@ -47,9 +47,9 @@
     TimeMs timeoutAt; ///< The final response is due at this time.
     ExchangePhase phase = ExchangePhase::Queued;
     TimeMs inTimeUntil; ///< If it is sent to an engine later, its first event misses the latency target.
-    uint64_t limitAsk = 0; ///< Number of the QuotaRequest in phase AwaitingLimit.
-    TimeMs limitAskUntil;
-    bool askedForUnits = false;
+    uint64_t unitRequest = 0; ///< Number of the QuotaRequest in phase AwaitingLimit.
+    TimeMs unitRequestUntil;
+    bool requestedUnits = false;
     uint32_t limitWaits = 0; ///< Number of waits for units so far.
     bool mayHaveRun = false; ///< An attempt may have reached an endpoint that runs the request.
     bool countedForUsage = false;
@@ -58,7 +58,7 @@
     std::set<EndpointId> tried;
 
     AttemptId attempt;
-    EndpointLife at; ///< Endpoint of the open attempt, else of the last one.
+    EndpointIncarnation sentTo; ///< Endpoint of the open attempt, else of the last one.
     TimeMs sentAt;
     bool streaming = false; ///< The first event of this attempt was received.
     uint64_t prefillTokens = 0; ///< Prefill tokens that are still counted at the endpoint.
@@ -69,14 +69,14 @@
     EventSplitter splitter;
     std::optional<uint64_t> lastEvent; ///< Last event that the caller has, from this daemon or from before.
     TimeMs firstEventAt; ///< Time of this attempt's first event.
-    uint64_t eventsHere = 0; ///< Number of events in this attempt.
-    bool startIsJudged = false; ///< This attempt's first event, response or failure is counted in a trial.
-    bool paceIsJudged = false; ///< This attempt's event interval is counted in a trial.
+    uint64_t attemptEvents = 0; ///< Number of events in this attempt.
+    bool startIsEvaluated = false; ///< This attempt's first event, response or failure is counted in a trial.
+    bool eventIntervalIsEvaluated = false; ///< This attempt's event interval is counted in a trial.
     TrialRole trialRole = TrialRole::Ordinary; ///< Role of this attempt.
     uint64_t events = 0; ///< Number of events in all attempts.
-    std::optional<RunMove> move;
-    bool moveDenied = false; ///< The retry budget was used up; logged once.
-    std::set<EndpointId> moveTargets; ///< Targets tried so far.
+    std::optional<GenerationMigration> migration;
+    bool migrationDenied = false; ///< The retry budget was used up; logged once.
+    std::set<EndpointId> migrationTargets; ///< Targets tried so far.
     std::optional<uint64_t> eventStep; ///< Difference of the ids of two consecutive events.
 };
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -15,9 +15,9 @@
 /// endpoint.
 constexpr DurationMs RevokeMargin{250};
 /// A refusal for an unknown route or key is final only if the configuration is not older than this.
-constexpr DurationMs CertainAge{1500};
+constexpr DurationMs MaxDefinitiveAge{1500};
 /// Time within which operators repeat their writes to a store that was restored from an older copy.
-constexpr DurationMs WrittenAgainAfter{5000};
+constexpr DurationMs RewriteGracePeriod{5000};
 /// Retry-After time when no better estimate is known.
 constexpr DurationMs DefaultRetryAfter{400};
 /// Retry-After time when another daemon can serve the request at once.
@@ -26,15 +26,15 @@
 /// How long requests that arrive before the first reads of the store wait for them. The reads take about 10
 /// ms with a healthy store, and all callers whose connections the kill cut off reconnect to a restarted
 /// process.
-constexpr DurationMs StartPatience{250};
-constexpr size_t MostAwaitingStart = 500; ///< Bounds the memory of these requests.
+constexpr DurationMs StartupWait{250};
+constexpr size_t MaxAwaitingStart = 500; ///< Bounds the memory of these requests.
 
 /// A wait shorter than this for the prefill of other requests does not count as a queue.
 constexpr double NoQueueMs = 10;
 
 /// How long a leaving daemon accepts new streams. Callers that connect later use an outdated entry answer,
 /// and their streams might not end before the process exits.
-constexpr DurationMs LastStreamsAfterLeaving{3000};
+constexpr DurationMs StreamsAcceptedAfterLeaving{3000};
 
 std::string secondsText(DurationMs duration)
 {
@@ -54,7 +54,7 @@
 {
     settings_.revokeBound = settings.revokeBound;
     settings_.drainTime = settings.drainTime;
-    repeats_.setLimits(settings.repeats);
+    retryBudget_.setLimits(settings.retryLimits);
     quotas_.setTolerance(settings.quotaTolerance);
     fleet_.setDrainTime(settings.drainTime);
 }
@@ -70,12 +70,12 @@
 // written it again.
 bool Gateway::isStoreIncomplete(TimeMs now) const
 {
-    return fleet_.olderStoreSince().count > 0 && now - fleet_.olderStoreSince() < WrittenAgainAfter;
+    return fleet_.storeRestoredAt().count > 0 && now - fleet_.storeRestoredAt() < RewriteGracePeriod;
 }
 
 bool Gateway::isReady(TimeMs now) const
 {
-    return !leavingSince_ && fleet_.known() && isFresh(now, settings_.revokeBound - RevokeMargin);
+    return !leavingSince_ && fleet_.hasList() && isFresh(now, settings_.revokeBound - RevokeMargin);
 }
 
 void Gateway::startLeaving(TimeMs now, TimeMs endsAt)
@@ -89,20 +89,20 @@
 // the exit would be cut off after it was sent, and its caller could not know whether it ran. If it is
 // refused, the caller retries at another daemon at once. Most streams end long before their timeout, so they
 // are accepted for a fixed time instead.
-bool Gateway::endsBefore(const Exchange &exchange, TimeMs now) const
+bool Gateway::mayExitBefore(const Exchange &exchange, TimeMs now) const
 {
     if (exchange.route->kind == RouteKind::Streaming)
-        return now - *leavingSince_ > LastStreamsAfterLeaving;
+        return now - *leavingSince_ > StreamsAcceptedAfterLeaving;
     return std::min(exchange.timeoutAt, exchange.callerWaitsUntil) > endsAt_;
 }
 
 // Checks a request against the configuration: its route, its key and its deadline. Runs again when the
 // request leaves the queue, so that a route or key that was removed in the meantime is not used.
-std::optional<Gateway::OwnAnswer> Gateway::judge(Exchange &exchange, TimeMs now) const
+std::optional<Gateway::OwnAnswer> Gateway::checkRequest(Exchange &exchange, TimeMs now) const
 {
-    if (!knowsStore())
+    if (!hasStoreState())
         return OwnAnswer{503, GatewayRefusal::NoConfiguration, DefaultRetryAfter};
-    const bool certain = isFresh(now, CertainAge) && !isStoreIncomplete(now);
+    const bool certain = isFresh(now, MaxDefinitiveAge) && !isStoreIncomplete(now);
     const CallerRequest &request = *exchange.request;
     exchange.configuration = configuration_;
     exchange.route = configuration_->findRoute(request.host, request.path);
@@ -113,18 +113,18 @@
     exchange.priority = exchange.route->priority;
     exchange.timeoutAt = exchange.arrivedAt + exchange.route->timeout;
     exchange.callerWaitsUntil = exchange.arrivedAt + request.deadline.value_or(exchange.route->timeout);
-    if (leavingSince_ && exchange.sends == 0 && endsBefore(exchange, now))
+    if (leavingSince_ && exchange.sends == 0 && mayExitBefore(exchange, now))
         return OwnAnswer{503, GatewayRefusal::Leaving, ElsewhereRetryAfter};
-    if (const std::optional<OwnAnswer> refusal = judgeKey(exchange, certain, now))
+    if (const std::optional<OwnAnswer> refusal = checkKey(exchange, certain, now))
         return refusal;
     if (!exchange.digest)
         exchange.digest = digestOf(exchange.organisation, request.path, request.body);
-    return isQuarantined(exchange, now) ? std::optional<OwnAnswer>(quarantineAnswer(exchange, now))
+    return isQuarantined(exchange, now) ? std::optional<OwnAnswer>(quarantineResponse(exchange, now))
                                         : std::nullopt;
 }
 
 // `certain`: the configuration is fresh enough to refuse an unknown key finally.
-std::optional<Gateway::OwnAnswer> Gateway::judgeKey(Exchange &exchange, bool certain, TimeMs now) const
+std::optional<Gateway::OwnAnswer> Gateway::checkKey(Exchange &exchange, bool certain, TimeMs now) const
 {
     const CallerRequest &request = *exchange.request;
     if (exchange.route->anonymous || configuration_->organisations.empty())
@@ -169,10 +169,10 @@
     exchange.request = event.request;
     exchange.arrivedAt = now;
     exchange.lastEvent = event.request->resumeAfter;
-    if (knowsStore() || awaitingStart_.size() >= MostAwaitingStart)
+    if (hasStoreState() || awaitingStart_.size() >= MaxAwaitingStart)
         return admit(exchange, now);
     exchange.phase = ExchangePhase::AwaitingStart;
-    exchange.timeoutAt = now + StartPatience;
+    exchange.timeoutAt = now + StartupWait;
     exchange.callerWaitsUntil = exchange.timeoutAt;
     awaitingStart_.push_back(event.caller);
 }
@@ -180,12 +180,12 @@
 void Gateway::admit(Exchange &exchange, TimeMs now)
 {
     exchange.phase = ExchangePhase::Queued;
-    const std::optional<OwnAnswer> refusal = judge(exchange, now);
+    const std::optional<OwnAnswer> refusal = checkRequest(exchange, now);
     // Refused requests count for the retry budget, too. Otherwise a store outage, in which keys are refused,
     // would leave no retries for migrating streams from engines that are reclaimed just after it.
     if (exchange.route) {
         exchange.service = pickService(exchange);
-        repeats_.request(exchange.service, now);
+        retryBudget_.countRequest(exchange.service, now);
     }
     if (refusal)
         return answer(exchange, *refusal, now);
@@ -195,7 +195,7 @@
 
 void Gateway::admitAwaiting(TimeMs now)
 {
-    if (!knowsStore())
+    if (!hasStoreState())
         return;
     for (CallerId id : std::exchange(awaitingStart_, {})) {
         const auto found = exchanges_.find(id);
@@ -212,7 +212,7 @@
         return;
     Exchange &exchange = found->second;
     counters_.add(GatewayCount::CallersGone);
-    log(LogWeight::Ordinary, "caller_gone", exchange, {{"after_ms", (now - exchange.arrivedAt).count}});
+    log(LogPriority::Ordinary, "caller_gone", exchange, {{"after_ms", (now - exchange.arrivedAt).count}});
     if (exchange.attempt.value != 0)
         cancelAttempt(exchange);
     finish(exchange);
@@ -221,9 +221,9 @@
 
 // ---- Sending ----
 
-PlacementQuestion Gateway::questionOf(const Exchange &exchange) const
+PlacementQuery Gateway::placementQuery(const Exchange &exchange) const
 {
-    PlacementQuestion question;
+    PlacementQuery question;
     question.service = exchange.service;
     const ServedService *service = exchange.configuration->findService(exchange.service);
     question.engine = service && service->engine ? &*service->engine : nullptr;
@@ -233,12 +233,12 @@
     return question;
 }
 
-void Gateway::send(Exchange &exchange, const PlacementQuestion &question, const PlacementChoice &choice,
-                   TimeMs now, const std::optional<RunMemory> &memory)
+void Gateway::send(Exchange &exchange, const PlacementQuery &question, const PlacementChoice &choice,
+                   TimeMs now, const std::optional<MigratedKvCache> &kvCache)
 {
     const FleetEndpoint &endpoint = *fleet_.find(choice.endpoint);
     exchange.attempt = {nextAttempt_++};
-    exchange.at = endpoint.life();
+    exchange.sentTo = endpoint.incarnation();
     exchange.sentAt = now;
     exchange.prefillTokens = choice.prefillTokens;
     exchange.foundNoQueue = choice.waitMs < NoQueueMs;
@@ -247,13 +247,13 @@
     exchange.tried.insert(choice.endpoint);
     exchange.body.clear();
     exchange.splitter.clear();
-    exchange.eventsHere = 0;
-    exchange.startIsJudged = exchange.paceIsJudged = false;
+    exchange.attemptEvents = 0;
+    exchange.startIsEvaluated = exchange.eventIntervalIsEvaluated = false;
     exchange.expectedMs = question.engine ? expectedFirstEventMs(exchange, choice) : 0;
     attempts_[exchange.attempt] = exchange.caller;
-    fleet_.started(choice, question, now);
+    fleet_.attemptStarted(choice, question, now);
     if (question.engine)
-        demand_.prefill(exchange.service, choice.prefillTokens, exchange.route->latencyTarget);
+        demand_.recordRequest(exchange.service, choice.prefillTokens, exchange.route->latencyTarget);
     counters_.add(GatewayCount::Attempts);
     if (endpoint.limiter.isLimited())
         counters_.add(GatewayCount::SentToLimited);
@@ -268,8 +268,8 @@
     if (question.engine)
         order.urgency = std::min<uint32_t>(exchange.priority, 9);
     order.resumeAfter = exchange.lastEvent;
-    order.memory = memory;
-    json::object fields = limitFields(endpoint, now);
+    order.migratedKvCache = kvCache;
+    json::object fields = limitLogFields(endpoint, now);
     fields.insert({{"attempt", exchange.attempt.value},
                    {"service", exchange.service.value},
                    {"organisation", exchange.organisation.value},
@@ -284,7 +284,7 @@
                    {"configuration", exchange.configuration->version},
                    {"configuration_age_ms", (now - confirmedAt_).count},
                    {"remaining_ms", order.remaining.count}});
-    log(LogWeight::Ordinary, "send", exchange, std::move(fields));
+    log(LogPriority::Ordinary, "send", exchange, std::move(fields));
     actions_.emplace_back(std::move(order));
 }
 
@@ -300,7 +300,7 @@
         action.headers.push_back({"Retry-After", secondsText(own.retryAfter)});
     action.headers.push_back({"Content-Type", "application/json"});
     action.body = json::serialize(json::object{{"reason", toText(own.reason)}});
-    log(LogWeight::Failure, "refused", exchange,
+    log(LogPriority::Failure, "refused", exchange,
         {{"reason", toText(own.reason)},
          {"organisation", exchange.organisation.value},
          {"digest", toText(exchange.digest)},
@@ -318,15 +318,15 @@
 
 // 503 guarantees that the request did not and will not run, so it is sent only if no attempt may have reached
 // an endpoint that runs it.
-void Gateway::giveUp(Exchange &exchange, GatewayRefusal reason, TimeMs now, DurationMs comeBackAfter)
+void Gateway::giveUp(Exchange &exchange, GatewayRefusal reason, TimeMs now, DurationMs capacityAfter)
 {
     if (!exchange.mayHaveRun && exchange.quotaUnits > 0)
         quotas_.giveBack(exchange.organisation, exchange.quotaUnits);
     if (isQuarantined(exchange, now))
-        return answer(exchange, quarantineAnswer(exchange, now), now);
+        return answer(exchange, quarantineResponse(exchange, now), now);
     if (exchange.mayHaveRun)
         return answer(exchange, {502, reason, {}}, now);
-    answer(exchange, {503, reason, retryAfter(std::max(comeBackAfter, DefaultRetryAfter))}, now);
+    answer(exchange, {503, reason, retryAfter(std::max(capacityAfter, DefaultRetryAfter))}, now);
 }
 
 void Gateway::timeOut(Exchange &exchange, TimeMs now)
@@ -334,11 +334,11 @@
     if (exchange.phase == ExchangePhase::AwaitingStart)
         return answer(exchange, {503, GatewayRefusal::NoConfiguration, DefaultRetryAfter}, now);
     if (exchange.attempt.value != 0) {
-        noteBadAnswer(exchange, false, now);
+        recordBadOutcome(exchange, false, now);
         cancelAttempt(exchange);
     }
     if (exchange.phase == ExchangePhase::Streaming)
-        return streamBroke(exchange, now);
+        return abortStream(exchange, now);
     if (exchange.mayHaveRun)
         return answer(exchange, {504, GatewayRefusal::TimedOut, {}}, now);
     giveUp(exchange, GatewayRefusal::Overloaded, now);
@@ -348,15 +348,15 @@
 {
     queue_.remove(exchange.caller);
     std::erase(awaitingStart_, exchange.caller);
-    limitAsks_.erase(exchange.limitAsk);
+    unitRequests_.erase(exchange.unitRequest);
     exchanges_.erase(exchange.caller);
 }
 
-void Gateway::log(LogWeight weight, const char *event, const Exchange &exchange, json::object fields) const
+void Gateway::log(LogPriority weight, const char *event, const Exchange &exchange, json::object fields) const
 {
     fields["request"] = exchange.request->id;
-    if (!exchange.at.id.value.empty())
-        fields["endpoint"] = exchange.at.id.value;
+    if (!exchange.sentTo.id.value.empty())
+        fields["endpoint"] = exchange.sentTo.id.value;
     log_.write(weight, event, std::move(fields));
 }
 
@@ -364,12 +364,12 @@
 {
     fleet_.tick(now);
     tickEndpointLimits(now);
-    tellOfSuspects(now);
-    tickTrials(now);
-    leaveSilentEndpoints(now);
+    sendCrashNotice(now);
+    evaluateTrials(now);
+    abandonSilentEndpoints(now);
     tickLimits(now);
     probeEngines(now);
-    moveRunsAway(now);
+    migrateFromLeavingEngines(now);
     fleet_.setPeersLoad(peers_.loadSums(now), now);
     std::vector<CallerId> late;
     for (const std::pair<const CallerId, Exchange> &entry : exchanges_) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -29,7 +29,7 @@
     FailureDomainName failureDomain;
     DurationMs revokeBound{5000}; ///< A removed key is rejected everywhere after this time.
     DurationMs configurationBound{2000}; ///< A configuration is in force everywhere after this time.
-    RepeatLimits repeats;
+    GatewayRetryLimits retryLimits;
     QuotaTolerance quotaTolerance;
     DurationMs usageWindow{5000};
     DurationMs drainTime{2000}; ///< Minimum time for which a leaving endpoint continues to serve.
@@ -55,8 +55,8 @@
     void onHead(const AttemptHead &event, TimeMs now);
     void onData(const AttemptData &event, TimeMs now);
     void onEnd(const AttemptEnd &event, TimeMs now);
-    void onBroken(const AttemptBroken &event, TimeMs now);
-    void onRunMoved(const RunMoved &event, TimeMs now);
+    void onConnectionFailed(const AttemptConnectionFailed &event, TimeMs now);
+    void onGenerationMigrated(const GenerationMigrated &event, TimeMs now);
     void onEngineProbed(const EngineProbed &event, TimeMs now);
 
     // Data from the store and the other daemons (sharedview.cpp).
@@ -64,16 +64,16 @@
     void onEndpoints(const EndpointsRead &event, TimeMs now);
     void onRollouts(const RolloutsRead &read, TimeMs now);
     void onMembers(std::vector<MemberEntry> members, TimeMs now, size_t listed = 0);
-    void onDutyHolder(const InstanceName &holder) { peers_.setDutyHolder(holder); }
-    void onEntriesTold(const EntriesTold &event);
+    void onLeader(const InstanceName &holder) { peers_.setLeader(holder); }
+    void onEntriesFromPeer(const EntriesFromPeer &event);
     void onPeerReport(const PeerReport &report, TimeMs now);
-    void onQuotaAsk(const QuotaAsk &ask, const Address &from);
-    void onQuotaGift(const QuotaGift &gift, TimeMs now);
+    void onQuotaRequest(const QuotaRequest &request, const Address &from);
+    void onQuotaTransfer(const QuotaTransfer &transfer, TimeMs now);
     void onCrashNotice(const CrashNotice &notice, TimeMs now);
     void onLimitNotice(const LimitNotice &notice, TimeMs now);
-    void onLimitAsk(const LimitAsk &ask, const Address &from, TimeMs now);
-    void onLimitGrant(const LimitGrant &grant, TimeMs now);
-    void onQuarantine(const std::vector<QuarantinedRequest> &list, VerdictSource source, TimeMs now);
+    void onLimitShareRequest(const LimitShareRequest &ask, const Address &from, TimeMs now);
+    void onLimitGrant(const LimitShareGrant &grant, TimeMs now);
+    void onQuarantine(const std::vector<QuarantinedRequest> &list, QuarantineSource source, TimeMs now);
     /// Returns the quarantined requests, for the store and for daemons that query them.
     const std::vector<QuarantinedRequest> &quarantine(TimeMs now);
 
@@ -93,12 +93,12 @@
     std::map<ServiceName, ServiceDemand> demand(TimeMs now) const;
     struct EntryAnswer {
         std::vector<Address> addresses;
-        bool told
+        bool fromPeer
             = false; ///< Received from another daemon. It must not be forwarded, or it would never expire.
     };
     /// Returns what the leader needs to advance roll-outs, for each service that has a roll-out order or
     /// record.
-    std::map<ServiceName, RolloutFacts> rolloutFacts(TimeMs now) const;
+    std::map<ServiceName, RolloutObservations> observeRollouts(TimeMs now) const;
     const RolloutView &rollouts() const { return rollouts_; }
     /// Returns the addresses that callers shall connect to. `own`: this daemon, if it is ready.
     EntryAnswer callerAddresses(const EntryCandidate &own, double ownCoresUsed, TimeMs now);
@@ -106,7 +106,7 @@
     bool serves() const { return servingRole_.serves(); }
     /// Returns whether other daemons need its reports: it serves, has requests, or has counts of a window
     /// that is not reported yet.
-    bool hasNews(TimeMs now) const;
+    bool mustReport(TimeMs now) const;
 
     const GatewayCounters &counters() const { return counters_; }
     const EndpointFleet &fleet() const { return fleet_; }
@@ -123,26 +123,26 @@
     };
 
     // Checks of a request, when it is read and again when it leaves the queue.
-    std::optional<OwnAnswer> judge(Exchange &exchange, TimeMs now) const;
-    std::optional<OwnAnswer> judgeKey(Exchange &exchange, bool certain, TimeMs now) const;
+    std::optional<OwnAnswer> checkRequest(Exchange &exchange, TimeMs now) const;
+    std::optional<OwnAnswer> checkKey(Exchange &exchange, bool certain, TimeMs now) const;
     bool isFresh(TimeMs now, DurationMs bound) const;
     bool isStoreIncomplete(TimeMs now) const;
-    bool knowsStore() const { return configuration_ && fleet_.known(); }
+    bool hasStoreState() const { return configuration_ && fleet_.hasList(); }
     void admit(Exchange &exchange, TimeMs now);
     void admitAwaiting(TimeMs now);
-    bool endsBefore(const Exchange &exchange, TimeMs now) const;
+    bool mayExitBefore(const Exchange &exchange, TimeMs now) const;
     void refillQuotas(TimeMs now);
 
     // Organisations' limits (limits.cpp).
     enum class LimitOutcome : uint8_t { Within, Waits, Refused };
-    LimitOutcome takeQuota(Exchange &exchange, bool mayAsk, TimeMs now);
-    bool isStillMeeting(TimeMs now) const;
-    void awaitLimit(Exchange &exchange, TimeMs now);
-    bool askForUnits(Exchange &exchange, double missing, TimeMs now);
-    void goOnWithinLimit(Exchange &exchange, TimeMs now);
+    LimitOutcome takeQuota(Exchange &exchange, bool mayRequest, TimeMs now);
+    bool isDiscoveringPeers(TimeMs now) const;
+    void awaitUnits(Exchange &exchange, TimeMs now);
+    bool requestUnits(Exchange &exchange, double missing, TimeMs now);
+    void continueWithinLimit(Exchange &exchange, TimeMs now);
     void tickLimits(TimeMs now);
     void deposit(TimeMs now);
-    bool isAmong(const std::vector<const MemberEntry *> &members) const;
+    bool includesThisDaemon(const std::vector<const MemberEntry *> &members) const;
     QuotaRole quotaRole(const OrganisationName &organisation, TimeMs now) const;
     ServiceName pickService(const Exchange &exchange) const;
 
@@ -150,23 +150,23 @@
 
     /// Prefill rate of a service's engines. Computed once per pass of the queue for all its waiting requests,
     /// since it requires counting the endpoints.
-    struct ReadingPace {
-        ReadingSpeed speed;
+    struct PrefillRate {
+        PrefillSpeed speed;
         int64_t engines = 1;
         int64_t daemons = 1;
 
         /// Returns the time until an idle engine sends the request's first event. Shared prompt parts are
         /// assumed to be cached.
-        DurationMs readingTime(const CallerRequest &request) const;
+        DurationMs prefillTime(const CallerRequest &request) const;
         /// Returns the time in which all engines together process this much prefill for each daemon.
-        DurationMs drainTime(DurationMs reading) const { return reading * daemons / engines; }
+        DurationMs drainTime(DurationMs prefill) const { return prefill * daemons / engines; }
     };
     void dispatch(Exchange &exchange, TimeMs now);
     /// Sends the request, or returns why it can't be sent now.
     std::optional<PlacementProblem> trySend(Exchange &exchange, TimeMs now);
     void runQueue(TimeMs now);
-    double mostWaitMs(const Exchange &exchange, TimeMs now) const;
-    ReadingPace readingPace(const ServiceName &service, TimeMs now) const;
+    double maxWaitMs(const Exchange &exchange, TimeMs now) const;
+    PrefillRate prefillRate(const ServiceName &service, TimeMs now) const;
     DurationMs expectedWait(const Exchange &exchange, TimeMs now) const;
     /// This daemon's waiting requests for a service whose endpoints all state limits.
     struct LimitedQueue {
@@ -180,116 +180,118 @@
     LimitedQueue limitedQueue(const ServiceName &service, TimeMs now) const;
     /// Refuses the request if its wait exceeds its deadline. Returns whether it was refused.
     bool refuseBeyondLimit(Exchange &exchange, DurationMs wait, TimeMs now);
-    bool isHopeless(const Exchange &exchange, TimeMs now) const;
-    DurationMs retryAfter(DurationMs least);
+    bool cannotMeetDeadline(const Exchange &exchange, TimeMs now) const;
+    DurationMs retryAfter(DurationMs min);
 
     // Sending.
-    void send(Exchange &exchange, const PlacementQuestion &question, const PlacementChoice &choice,
-              TimeMs now, const std::optional<RunMemory> &memory = std::nullopt);
-    PlacementQuestion questionOf(const Exchange &exchange) const;
+    void send(Exchange &exchange, const PlacementQuery &query, const PlacementChoice &choice, TimeMs now,
+              const std::optional<MigratedKvCache> &kvCache = std::nullopt);
+    PlacementQuery placementQuery(const Exchange &exchange) const;
 
     // Roll-outs (trials.cpp).
     struct Trial {
         SoftwareVersion target;
         int64_t beganWallMs = 0;
         RolloutStage stage = RolloutStage::Starting;
-        VersionJudge judge;
+        VersionEvaluator evaluator;
         bool isSuspected = false;
         uint32_t loadSent = 0; ///< Load requests that this daemon sent.
     };
-    int64_t wallAt(TimeMs now) const; ///< Wall-clock time in Unix milliseconds.
-    void noteVersions(const EndpointsRead &read);
+    int64_t wallTimeAt(TimeMs now) const; ///< Wall-clock time in Unix milliseconds.
+    void recordListedVersions(const EndpointsRead &read);
     /// Selects an endpoint of a version that the request may be sent to.
-    PlacementResult place(Exchange &exchange, PlacementQuestion &question, TimeMs now);
-    PlacementResult placeByVersion(Exchange &exchange, PlacementQuestion &question, TimeMs now);
-    PlacementResult placeAtTarget(const RolloutView::Rule &rule, PlacementQuestion question,
-                                  std::set<EndpointId> among, TimeMs now) const;
-    PlacementResult placeAsLoad(Exchange &exchange, const RolloutView::Rule &rule, PlacementQuestion question,
-                                TimeMs now);
+    PlacementResult place(Exchange &exchange, PlacementQuery &query, TimeMs now);
+    PlacementResult selectByVersion(Exchange &exchange, PlacementQuery &query, TimeMs now);
+    PlacementResult selectAtTarget(const RolloutView::Rule &rule, PlacementQuery question,
+                                   std::set<EndpointId> among, TimeMs now) const;
+    PlacementResult selectForLoad(Exchange &exchange, const RolloutView::Rule &rule, PlacementQuery question,
+                                  TimeMs now);
     std::set<EndpointId> trialEndpoints(const Exchange &exchange, const RolloutView::Rule &rule) const;
-    bool mayLoad(const Exchange &exchange, const PlacementQuestion &question, const RolloutView::Rule &rule,
-                 TimeMs now) const;
-    void noteAnswers(const Exchange &exchange, const FleetEndpoint &endpoint, bool bad);
+    bool canUseAsLoad(const Exchange &exchange, const PlacementQuery &query, const RolloutView::Rule &rule,
+                      TimeMs now) const;
+    void recordOutcome(const Exchange &exchange, const FleetEndpoint &endpoint, bool bad);
     bool isOnTrial(const FleetEndpoint &endpoint) const;
-    uint32_t groupOf(const FleetEndpoint &endpoint) const; ///< Index in the counts of a trial.
-    void noteStep(const Exchange &exchange, UsualTimes::Step step, double time, double least);
+    uint32_t trialGroupOf(const FleetEndpoint &endpoint) const; ///< Index in the counts of a trial.
+    void recordStep(const Exchange &exchange, BaselineTimes::Step step, double time, double least);
     double expectedFirstEventMs(const Exchange &exchange, const PlacementChoice &choice) const;
-    static double firstEventTimes(const Exchange &exchange, TimeMs now);
+    static double firstEventRatio(const Exchange &exchange, TimeMs now);
     bool isMoving(const ServiceName &service) const;
-    void noteLoad(Exchange &exchange, const EngineFigures &engine, const EndpointId &at);
-    void noteFirstEvent(Exchange &exchange, TimeMs now);
-    void noteEventPace(Exchange &exchange, TimeMs now);
-    void noteWholeAnswer(Exchange &exchange, TimeMs now);
-    void noteBadAnswer(Exchange &exchange, bool broke, TimeMs now);
-    void noteOverdue(TimeMs now);
-    void tickTrials(TimeMs now);
+    void recordLoadRequest(Exchange &exchange, const EngineFigures &engine, const EndpointId &at);
+    void recordFirstEvent(Exchange &exchange, TimeMs now);
+    void recordEventInterval(Exchange &exchange, TimeMs now);
+    void recordFullResponse(Exchange &exchange, TimeMs now);
+    void recordBadOutcome(Exchange &exchange, bool broke, TimeMs now);
+    void recordOverdue(TimeMs now);
+    void evaluateTrials(TimeMs now);
 
     // Outcomes of attempts (attempts.cpp).
     void detach(Exchange &exchange);
     void cancelAttempt(Exchange &exchange);
-    bool mayRepeat(const Exchange &exchange) const;
+    bool mayRetry(const Exchange &exchange) const;
     double slackShare(TimeMs now) const;
-    bool repeat(Exchange &exchange, GatewayRetry reason, TimeMs now);
+    bool retry(Exchange &exchange, GatewayRetry reason, TimeMs now);
     /// Cancels an attempt and treats it as failed; the endpoint may already have run the request.
-    void cancelBroken(AttemptId attempt, TimeMs now);
+    void cancelAsFailed(AttemptId attempt, TimeMs now);
     void onRejected(Exchange &exchange, TimeMs now);
-    void passWholeAnswer(Exchange &exchange, TimeMs now);
-    bool passEvents(Exchange &exchange, TimeMs now);
+    void forwardFullResponse(Exchange &exchange, TimeMs now);
+    bool forwardEvents(Exchange &exchange, TimeMs now);
     void attemptFailed(Exchange &exchange, bool sent, TimeMs now);
-    void closeBroken(Exchange &exchange, bool sent, TimeMs now);
-    void goOnAfterBreak(Exchange &exchange, bool sent, TimeMs now);
-    void leaveSilentEndpoints(TimeMs now);
-    bool canGoOnElsewhere(Exchange &exchange, TimeMs now);
+    void closeFailedAttempt(Exchange &exchange, bool sent, TimeMs now);
+    void continueAfterFailure(Exchange &exchange, bool sent, TimeMs now);
+    void abandonSilentEndpoints(TimeMs now);
+    bool canContinueElsewhere(Exchange &exchange, TimeMs now);
 
     // Endpoints that exit while they process requests (endpointends.cpp).
 
     /// Returns true if the request has to wait for the result of a probe of the endpoint.
-    bool noteBroken(const Exchange &exchange, TimeMs now);
-    void onProcessKnown(const EngineProbed &event, TimeMs now);
-    void noteEnd(const EndpointQuestions::Answered &question, TimeMs now);
-    void noteAnswered(const Exchange &exchange, TimeMs now);
-    void noteQuarantined(const std::vector<RequestDigest> &requests, VerdictSource source, TimeMs now);
-    void endQuarantinedAttempts(RequestDigest request, TimeMs now);
+    bool recordInterruptedAttempt(const Exchange &exchange, TimeMs now);
+    void onProcessProbed(const EngineProbed &event, TimeMs now);
+    void onEndpointCrash(const EndpointProbes::ProbeResult &probe, TimeMs now);
+    void clearSuspicion(const Exchange &exchange, TimeMs now);
+    void applyQuarantine(const std::vector<RequestDigest> &requests, QuarantineSource source, TimeMs now);
+    void cancelQuarantinedAttempts(RequestDigest request, TimeMs now);
     bool isQuarantined(const Exchange &exchange, TimeMs now) const;
-    OwnAnswer quarantineAnswer(const Exchange &exchange, TimeMs now) const;
-    void tellOfSuspects(TimeMs now);
-    void tellNewServing(TimeMs now);
-    void tell(const std::vector<const MemberEntry *> &members, const CrashNotice &notice);
+    OwnAnswer quarantineResponse(const Exchange &exchange, TimeMs now) const;
+    void sendCrashNotice(TimeMs now);
+    void notifyNewServing(TimeMs now);
+    void sendToMembers(const std::vector<const MemberEntry *> &members, const CrashNotice &notice);
 
     // Endpoints with a limited request rate (endpointlimits.cpp).
-    void noteLimit(const Exchange &exchange, TimeMs now);
+    void recordLimit(const Exchange &exchange, TimeMs now);
     void tickEndpointLimits(TimeMs now);
-    void findCoordinators(const std::vector<FleetEndpoint *> &limited, TimeMs now);
-    void spreadWaiting(const std::vector<FleetEndpoint *> &limited, TimeMs now);
-    void askForShares(const std::vector<FleetEndpoint *> &limited, TimeMs now);
-    void shareOut(const EndpointLife &endpoint, TimeMs now);
-    void tellOfLimits(const std::vector<FleetEndpoint *> &limited, TimeMs now);
-    void tellNewServingOfLimits(TimeMs now);
-    void tell(const std::vector<const MemberEntry *> &members, const std::vector<LimitWord> &words);
-    static boost::json::object limitFields(const FleetEndpoint &endpoint, TimeMs now);
+    void updateCoordinators(const std::vector<FleetEndpoint *> &limited, TimeMs now);
+    void distributeWaiting(const std::vector<FleetEndpoint *> &limited, TimeMs now);
+    void requestShares(const std::vector<FleetEndpoint *> &limited, TimeMs now);
+    void sendLimitGrants(const EndpointIncarnation &endpoint, TimeMs now);
+    void sendDueLimitUpdates(const std::vector<FleetEndpoint *> &limited, TimeMs now);
+    void sendLimitsToNewServing(TimeMs now);
+    void sendLimitUpdates(const std::vector<const MemberEntry *> &members,
+                          const std::vector<LimitUpdate> &updates);
+    static boost::json::object limitLogFields(const FleetEndpoint &endpoint, TimeMs now);
 
     // Generations on leaving engines (migrations.cpp).
     void probeEngines(TimeMs now);
-    void moveRunsAway(TimeMs now);
+    void migrateFromLeavingEngines(TimeMs now);
     bool isTooLateToStart(const Exchange &exchange, TimeMs now) const;
-    bool isWorthMoving(const Exchange &exchange, TimeMs now) const;
+    bool shouldMigrate(const Exchange &exchange, TimeMs now) const;
     /// Returns when the endpoint exits or has to be empty, as far as that is known.
-    std::optional<TimeMs> emptyBy(const FleetEndpoint &endpoint, TimeMs now) const;
-    void startMove(Exchange &exchange, TimeMs now);
-    void goOnAtTarget(Exchange &exchange, TimeMs now);
-    void moveFailed(Exchange &exchange, TimeMs now);
-    void streamBroke(Exchange &exchange, TimeMs now);
-    void noteStarted(Exchange &exchange, TimeMs at);
+    std::optional<TimeMs> evacuationDeadline(const FleetEndpoint &endpoint, TimeMs now) const;
+    void startMigration(Exchange &exchange, TimeMs now);
+    void continueAtTarget(Exchange &exchange, TimeMs now);
+    void onMigrationFailed(Exchange &exchange, TimeMs now);
+    void abortStream(Exchange &exchange, TimeMs now);
+    void countUsage(Exchange &exchange, TimeMs at);
 
     // Final responses.
     void answer(Exchange &exchange, const OwnAnswer &own, TimeMs now);
     /// `capacityAfter`: time until capacity is expected, as far as that is known.
-    void giveUp(Exchange &exchange, GatewayRefusal reason, TimeMs now, DurationMs comeBackAfter = {0});
+    void giveUp(Exchange &exchange, GatewayRefusal reason, TimeMs now, DurationMs capacityAfter = {0});
     void timeOut(Exchange &exchange, TimeMs now);
     void finish(Exchange &exchange);
-    void log(LogWeight weight, const char *event, const Exchange &exchange, boost::json::object fields) const;
+    void log(LogPriority weight, const char *event, const Exchange &exchange,
+             boost::json::object fields) const;
 
-    Exchange *byAttempt(AttemptId attempt);
+    Exchange *findByAttempt(AttemptId attempt);
 
     GatewaySettings settings_;
     DecisionLog &log_;
@@ -305,37 +307,38 @@
     EndpointFleet fleet_;
     PeerTable peers_;
     Quotas quotas_;
-    RepeatBudget repeats_;
+    GatewayRetryBudget retryBudget_;
     UsageWindows usage_;
     DemandMeter demand_;
 
     std::map<CallerId, Exchange> exchanges_;
     std::map<AttemptId, CallerId> attempts_;
-    EndpointQuestions endpointQuestions_;
+    EndpointProbes endpointQuestions_;
     Quarantine quarantine_;
     RolloutView rollouts_;
     TrialCounts trialCounts_;
-    UsualTimes usualTimes_;
+    BaselineTimes usualTimes_;
     std::map<ServiceName, Trial> trials_;
-    TimeMs trialsAt_; ///< Next check of the trials.
-    TimeMs coordinatorsAt_; ///< Next search for the coordinators of limited endpoints.
-    TimeMs askRoundAt_;
-    uint64_t askRound_ = 0;
-    std::map<EndpointLife, Address> coordinators_; ///< Other daemons that coordinate a limit.
-    std::map<ServiceName, double> answerMs_; ///< Moving mean of the response time per service.
-    std::map<uint64_t, CallerId> limitAsks_; ///< Open requests for units, with the waiting caller.
+    TimeMs nextTrialCheckAt_; ///< Next check of the trials.
+    TimeMs nextCoordinatorCheckAt_; ///< Next search for the coordinators of limited endpoints.
+    TimeMs nextShareRequestAt_;
+    uint64_t shareRequestRound_ = 0;
+    std::map<EndpointIncarnation, Address> coordinators_; ///< Other daemons that coordinate a limit.
+    std::map<ServiceName, double> responseMs_; ///< Moving mean of the response time per service.
+    std::map<uint64_t, CallerId> unitRequests_; ///< Open requests for units, with the waiting caller.
     std::set<std::tuple<Incarnation, bool, uint64_t>>
-        giftsTaken_; ///< Sender, whether it is a deposit, number.
-    uint64_t nextAsk_ = 1;
+        transfersReceived_; ///< Sender, whether it is a deposit, number.
+    uint64_t nextUnitRequest_ = 1;
     std::vector<CallerId> awaitingStart_; ///< Arrived before the first reads of the store, in order.
     AdmissionQueue queue_;
-    std::map<ServiceName, TimeMs> lateAt_; ///< Requests past their latency target are not sent before.
+    std::map<ServiceName, TimeMs>
+        nextLateSendAt_; ///< Requests past their latency target are not sent before.
     uint64_t nextAttempt_ = 1;
     uint64_t reports_ = 0;
     size_t entryCount_ = 0; ///< Number of addresses in the newest entry answer.
     std::vector<Address>
-        toldEntries_; ///< Received from a daemon that gets the reports of the serving daemons.
-    TimeMs toldEntriesAt_;
+        peerEntries_; ///< Received from a daemon that gets the reports of the serving daemons.
+    TimeMs peerEntriesAt_;
     ServingRole servingRole_;
     TimeMs depositedAt_;
     uint64_t deposits_ = 0;
--- a/src/gateway/gatewayevents.h
+++ b/src/gateway/gatewayevents.h
@@ -15,23 +15,24 @@
 
 /// Start time of an endpoint's process as the endpoint states it, in Unix milliseconds. 0: not stated. It is
 /// only compared with other start times of the same endpoint, never with the local clock.
-struct EndpointStart {
+struct EndpointStartTime {
     int64_t unixMs = 0;
-    friend constexpr std::strong_ordering operator<=>(EndpointStart, EndpointStart) = default;
+    friend constexpr std::strong_ordering operator<=>(EndpointStartTime, EndpointStartTime) = default;
 };
 
 /// One incarnation of an endpoint, from the start of its process to its exit. No state survives into the
 /// next.
-struct EndpointLife {
+struct EndpointIncarnation {
     EndpointId id;
-    EndpointStart start;
-    friend std::strong_ordering operator<=>(const EndpointLife &, const EndpointLife &) = default;
+    EndpointStartTime start;
+    friend std::strong_ordering operator<=>(const EndpointIncarnation &, const EndpointIncarnation &)
+        = default;
 };
 
 /// An entry of the endpoint list.
 struct EndpointEntry {
     EndpointId id;
-    EndpointStart start;
+    EndpointStartTime start;
     bool readable = true; ///< False: the entry in the store can't be parsed; only `id` is known.
     ServiceName service;
     Address address;
@@ -67,7 +68,7 @@
     HttpHeaders headers; ///< Headers that are forwarded to the caller.
     bool notExecuted = false; ///< The endpoint states that it did not run the request.
     bool wrongInstance = false; ///< Another endpoint runs at that address.
-    bool ownAnswer = true; ///< The response carries the id of this request.
+    bool matchesRequest = true; ///< The response carries the id of this request.
     bool eventStream = false;
     std::optional<RequestRate> limit; ///< Maximum rate that the endpoint accepts from all daemons together.
     std::optional<FieldError> limitError; ///< The stated limit can't be parsed.
@@ -83,48 +84,48 @@
 };
 
 /// Outcome of a request to migrate a generation's KV cache to another engine.
-enum class MoveOutcome : uint8_t {
-    Moved, ///< The generation has stopped, its KV cache is at the target.
-    NoSuchRun, ///< The generation has not started or is complete.
-    NoRoom, ///< The generation has stopped, its KV cache is still at the source.
+enum class MigrationOutcome : uint8_t {
+    Migrated, ///< The generation has stopped, its KV cache is at the target.
+    NoSuchGeneration, ///< The generation has not started or is complete.
+    NoCapacity, ///< The generation has stopped, its KV cache is still at the source.
     Refused, ///< Another migration is in progress.
     NoReply
 };
 
-struct RunMoved {
+struct GenerationMigrated {
     AttemptId attempt; ///< Attempt whose generation was to be migrated.
-    MoveOutcome outcome = MoveOutcome::NoReply;
+    MigrationOutcome outcome = MigrationOutcome::NoReply;
     std::string handle; ///< Identifies the KV cache at the target; valid once.
 };
 
 /// Result of a probe of an endpoint's process.
 enum class EndpointProcess : uint8_t {
     Unknown, ///< No reply: the endpoint may be unreachable, frozen or without power.
-    Runs, ///< It replied, whatever the reply was.
-    Ended ///< The instance is up and refuses the connection: no process listens there.
+    Running, ///< It replied, whatever the reply was.
+    Exited ///< The instance is up and refuses the connection: no process listens there.
 };
 
 /// An engine's report of its own state, or a failed probe.
 struct EngineProbed {
     EndpointId endpoint;
-    EndpointStart start;
+    EndpointStartTime start;
     bool answered = false; ///< A valid report was received; the other fields are from it.
     bool leaving = false;
     std::optional<DurationMs> leavesAfter;
     EndpointProcess process = EndpointProcess::Unknown;
-    bool afterBreak = false; ///< Copied from the ProbeEngine action.
+    bool afterConnectionFailure = false; ///< Copied from the ProbeEngine action.
 };
 
-struct AttemptBroken {
+struct AttemptConnectionFailed {
     AttemptId attempt;
     bool sent = true; ///< False: no byte of the request was sent.
 };
 
 /// An endpoint that exited while it processed a request.
-struct EndpointLoss {
+struct EndpointCrash {
     RequestDigest request;
-    EndpointLife endpoint;
-    bool ranWell = false; ///< It had streamed events for a while before.
+    EndpointIncarnation endpoint;
+    bool hadStreamed = false; ///< It had streamed events for a while before.
 };
 
 /// A request that is sent to no endpoint, as stored and as sent to daemons that query it.
@@ -139,39 +140,39 @@
 /// those of the requests that were answered since, and requests in quarantine. If a notice is lost, at most
 /// one more endpoint crashes.
 struct CrashNotice {
-    std::vector<EndpointLoss> losses;
+    std::vector<EndpointCrash> crashes;
     std::vector<RequestDigest> answered;
     std::vector<QuarantinedRequest> quarantined;
 };
 
 /// The request rate that an endpoint stated to accept from all daemons together.
-struct LimitWord {
-    EndpointLife endpoint;
+struct LimitUpdate {
+    EndpointIncarnation endpoint;
     std::optional<RequestRate> limit; ///< Empty: no longer limited.
-    uint32_t clears = 0; ///< Consecutive responses since then that stated no limit.
+    uint32_t responsesWithoutLimit = 0; ///< Consecutive responses since then that stated no limit.
     DurationMs age; ///< Time since the limit was received.
-    DurationMs standing; ///< Time since the endpoint first stated a limit.
+    DurationMs knownFor; ///< Time since the endpoint first stated a limit.
 };
 
 /// Limit updates that a daemon sends to the other serving daemons.
 struct LimitNotice {
-    std::vector<LimitWord> words;
+    std::vector<LimitUpdate> updates;
 };
 
 /// Request for a share of an endpoint's limit, sent to the daemon that coordinates this limit. States how
 /// many of the sender's requests wait for the endpoint.
-struct LimitAsk {
-    EndpointLife endpoint;
+struct LimitShareRequest {
+    EndpointIncarnation endpoint;
     uint64_t number = 0;
     uint32_t waiting = 0;
 };
 
 /// Permission to send a number of requests to the endpoint soon. Applied once; if a grant is lost, the
 /// endpoint gets these requests later or not at all.
-struct LimitGrant {
-    EndpointLife endpoint;
+struct LimitShareGrant {
+    EndpointIncarnation endpoint;
     Incarnation from;
-    uint64_t ask = 0; ///< Number of the LimitShareRequest.
+    uint64_t requestNumber = 0; ///< Number of the LimitShareRequest.
     uint64_t number = 0; ///< Increases with each grant of the sender.
     uint32_t requests = 0;
     uint32_t waiting = 0; ///< Requests that wait at all daemons.
@@ -197,7 +198,7 @@
 
 /// The load that a peer has at one endpoint.
 struct EndpointLoad {
-    EndpointLife life;
+    EndpointIncarnation incarnation;
     uint32_t running = 0;
     uint64_t prefillTokens = 0; ///< Tokens of requests without a first event yet.
 };
@@ -209,7 +210,7 @@
 };
 
 /// Request for units of an organisation's limit. If it is lost, a caller may be refused.
-struct QuotaAsk {
+struct QuotaRequest {
     uint64_t number = 0;
     OrganisationName organisation;
     double units = 0;
@@ -217,7 +218,7 @@
 
 /// Units that the sender has taken from its own balance. Applied once; the units of a lost transfer can't be
 /// used.
-struct QuotaGift {
+struct QuotaTransfer {
     Incarnation from;
     uint64_t number = 0; ///< Number of the QuotaRequest, or of a deposit.
     OrganisationName organisation;
@@ -234,15 +235,15 @@
 
 /// Sums for a linear regression of the time to the first event over the number of prefill tokens, over
 /// requests that found no queue. Older requests decay.
-struct ReadingSums {
+struct PrefillSums {
     double count = 0;
     double tokens = 0; ///< Prefill tokens.
     double ms = 0;
     double tokensSquared = 0;
     double tokensMs = 0; ///< Sum of the products of tokens and ms.
 
-    void add(const ReadingSums &other);
-    void fade(double part); ///< Multiplies each sum by `factor`.
+    void add(const PrefillSums &other);
+    void decay(double factor); ///< Multiplies each sum by `factor`.
 };
 
 /// Demand on one service at one daemon, as moving means. The demands of several daemons can be added.
@@ -253,7 +254,7 @@
     double requestsPerSecond = 0;
     double targetMsPerSecond = 0; ///< Sum of the latency targets of these requests.
     double running = 0; ///< Requests at endpoints or waiting for one.
-    ReadingSums readings;
+    PrefillSums prefillSums;
 
     void add(const ServiceDemand &other);
 };
@@ -269,7 +270,7 @@
     bool leaving = false;
     bool ready = false;
     bool readsStore = true; ///< Its reads of the store succeed, as far as it tries any.
-    bool whole = true; ///< Includes windows, demands and all balances.
+    bool full = true; ///< Includes windows, demands and all balances.
     uint64_t sequence = 0;
     int64_t wallMs = 0; ///< Wall-clock time of the sender, Unix milliseconds.
     double coresUsed = 0; ///< CPU cores used by the sender's process, moving mean.
@@ -304,7 +305,7 @@
 };
 
 /// Query for a peer's copy of the store's data and its age, sent instead of reading the store.
-struct FreshnessQuestion {
+struct FreshnessQuery {
     Incarnation from;
     uint64_t number = 0;
     uint64_t era = 0; ///< Era of the store as known to the sender.
@@ -325,7 +326,7 @@
 /// Reply to a FreshnessQuery. Ages are measured at the replying daemon when it replies. The receiver
 /// subtracts them from the time at which it sent the query, so that no network delay makes data look fresher
 /// than it was.
-struct FreshnessAnswer {
+struct FreshnessReply {
     uint64_t number = 0;
     uint64_t era = 0; ///< Era of the store that this data is from.
     DurationMs sharedAge; ///< Age of the configuration, the members and the leader.
@@ -359,7 +360,7 @@
 };
 
 /// Caller addresses as received from another daemon that gets the reports of the serving daemons.
-struct EntriesTold {
+struct EntriesFromPeer {
     std::vector<Address> addresses;
     TimeMs askedAt; ///< Start of the query: the addresses were valid at or after this time.
 };
@@ -387,17 +388,17 @@
 
 struct EndCallerStream {
     CallerId caller;
-    bool whole = false; ///< False: the connection is closed without the end mark.
+    bool complete = false; ///< False: the connection is closed without the end mark.
 };
 
 /// KV cache of a stopped generation, for the attempt that continues it.
-struct RunMemory {
+struct MigratedKvCache {
     Address source;
     std::string handle;
 };
 
 /// Stops a generation and copies its KV cache to another engine.
-struct MoveRun {
+struct MigrateGeneration {
     AttemptId attempt;
     Address source;
     Address target;
@@ -425,7 +426,7 @@
     OrganisationName organisation; ///< Empty: the route requires no key.
     std::optional<uint32_t> urgency; ///< Priority for engines, 0 (first) to 9.
     std::optional<uint64_t> resumeAfter;
-    std::optional<RunMemory> memory; ///< Continue the generation from this KV cache.
+    std::optional<MigratedKvCache> migratedKvCache; ///< Continue the generation from this KV cache.
 };
 
 struct CancelSent {
@@ -433,12 +434,13 @@
 };
 
 /// Sends a message to one other daemon.
-struct TellPeer {
+struct SendToPeer {
     Address to;
-    std::variant<QuotaAsk, QuotaGift, CrashNotice, LimitNotice, LimitAsk, LimitGrant> message;
+    std::variant<QuotaRequest, QuotaTransfer, CrashNotice, LimitNotice, LimitShareRequest, LimitShareGrant>
+        message;
 };
 
 using GatewayAction = std::variant<AnswerCaller, BeginCallerStream, CallerStreamData, EndCallerStream,
-                                   SendAttempt, CancelSent, MoveRun, ProbeEngine, TellPeer>;
+                                   SendAttempt, CancelSent, MigrateGeneration, ProbeEngine, SendToPeer>;
 
 } // namespace cranberry
--- a/src/gateway/io/gatewaycallers.cpp
+++ b/src/gateway/io/gatewaycallers.cpp
@@ -13,10 +13,10 @@
 /// backstop.
 constexpr DurationMs AttemptBackstop{3'600'000};
 /// A caller with more unsent bytes than this is considered gone.
-constexpr size_t MostUnsentBytes = 4U << 20;
+constexpr size_t MaxUnsentBytes = 4U << 20;
 
 /// Returns the status of a complete response; 0 if it is incomplete.
-int wholeStatus(const HttpResponse &response)
+int completeStatus(const HttpResponse &response)
 {
     return response.failure == HttpFailure::None ? response.status : 0;
 }
@@ -42,7 +42,7 @@
             return {};
         },
         [&](const FieldError &error) {
-            log.write(LogWeight::Failure, "bad_request", {{"error", toText(error)}});
+            log.write(LogPriority::Failure, "bad_request", {{"error", toText(error)}});
             exchange->respond(400, {{"Content-Type", "application/json"}},
                               boost::json::serialize(
                                   boost::json::object{{"reason", "bad_request"}, {"error", toText(error)}}));
@@ -51,17 +51,17 @@
     runActions();
 }
 
-void GatewayServer::State::onEntryQuestion(const HttpExchangePtr &exchange)
+void GatewayServer::State::onEntryRequest(const HttpExchangePtr &exchange)
 {
     const std::vector<Address> addresses = entryAddresses(steadyNow());
     if (addresses.empty())
         return exchange->respond(503, {}, "");
     exchange->respond(
         200, {{"Content-Type", "application/json"}},
-        platform::encodeEntryAnswer(addresses, std::max<int64_t>(settings.entryKeep.count / 1000, 1)));
+        platform::encodeEntryResponse(addresses, std::max<int64_t>(settings.entryKeep.count / 1000, 1)));
 }
 
-void GatewayServer::State::onReadyQuestion(const HttpExchangePtr &exchange)
+void GatewayServer::State::onReadinessRequest(const HttpExchangePtr &exchange)
 {
     exchange->respond(gateway.isReady(steadyNow()) ? 200 : 503, {}, "");
 }
@@ -85,13 +85,13 @@
 }
 
 // Removes a caller's exchange for its final response; returns nullptr if the caller is gone.
-HttpExchangePtr GatewayServer::State::takeCaller(CallerId caller)
+HttpExchangePtr GatewayServer::State::removeCaller(CallerId caller)
 {
     const auto found = callers.find(caller);
     if (found == callers.end())
         return nullptr;
     HttpExchangePtr exchange = found->second;
-    latency.whole(steadyNow() - arrivals[caller]);
+    latency.fullResponse(steadyNow() - arrivals[caller]);
     callers.erase(found);
     arrivals.erase(caller);
     exchange->onClosed(nullptr);
@@ -100,7 +100,7 @@
 
 void GatewayServer::State::run(AnswerCaller &action)
 {
-    if (const HttpExchangePtr exchange = takeCaller(action.caller))
+    if (const HttpExchangePtr exchange = removeCaller(action.caller))
         exchange->respond(action.status, action.headers, action.body);
 }
 
@@ -120,16 +120,16 @@
         return;
     const HttpExchangePtr exchange = found->second;
     exchange->write(action.bytes);
-    if (exchange->pendingBytes() > MostUnsentBytes)
+    if (exchange->pendingBytes() > MaxUnsentBytes)
         exchange->abort();
 }
 
 void GatewayServer::State::run(EndCallerStream &action)
 {
-    const HttpExchangePtr exchange = takeCaller(action.caller);
+    const HttpExchangePtr exchange = removeCaller(action.caller);
     if (!exchange)
         return;
-    if (action.whole)
+    if (action.complete)
         exchange->finish();
     else
         exchange->abort();
@@ -157,7 +157,7 @@
         if (failure == HttpFailure::None)
             gateway.onEnd({attempt}, steadyNow());
         else
-            gateway.onBroken({attempt, mayHaveArrived(failure)}, steadyNow());
+            gateway.onConnectionFailed({attempt, mayHaveArrived(failure)}, steadyNow());
         runActions();
     };
     calls[attempt] = endpoints.start(std::move(call), std::move(callbacks));
@@ -185,14 +185,15 @@
     });
 }
 
-void GatewayServer::State::run(MoveRun &action)
+void GatewayServer::State::run(MigrateGeneration &action)
 {
     HttpCall call;
     call.address = action.source;
-    call.request = platform::encodeMove(action);
+    call.request = platform::encodeMigration(action);
     callEndpoint(
         std::move(call), action.timeout, [this, attempt = action.attempt](const HttpResponse &reply) {
-            gateway.onRunMoved(platform::decodeMove(attempt, wholeStatus(reply), reply.body), steadyNow());
+            gateway.onGenerationMigrated(
+                platform::decodeMigrationReply(attempt, completeStatus(reply), reply.body), steadyNow());
         });
 }
 
@@ -205,10 +206,10 @@
     callEndpoint(
         std::move(call), action.timeout,
         [this, endpoint = action.endpoint, afterBreak = action.afterBreak](const HttpResponse &reply) {
-            EngineProbed probed = platform::decodeProbe(endpoint, wholeStatus(reply), reply.body);
-            probed.afterBreak = afterBreak;
+            EngineProbed probed = platform::decodeProbe(endpoint, completeStatus(reply), reply.body);
+            probed.afterConnectionFailure = afterBreak;
             if (reply.failure == HttpFailure::Refused)
-                probed.process = EndpointProcess::Ended;
+                probed.process = EndpointProcess::Exited;
             gateway.onEngineProbed(probed, steadyNow());
         });
 }
--- a/src/gateway/io/gatewaypeers.cpp
+++ b/src/gateway/io/gatewaypeers.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr DurationMs CoresPace{500};
+constexpr DurationMs CoresInterval{500};
 constexpr double CoresWeight = 0.2; ///< Weight of the newest sample: a mean over about 2.5 s.
 
 /// Returns the CPU time of this process in milliseconds; 0 if the system does not provide it.
@@ -40,7 +40,7 @@
         const bool whole = response.failure == HttpFailure::None;
         StoreReply reply
             = storeCodec.decode(order, whole ? response.status : 0, response.headers, response.body);
-        sync.judgeEra(reply, steadyNow());
+        sync.checkEra(reply, steadyNow());
         onReply(reply);
     });
 }
@@ -50,7 +50,7 @@
     for (const StoreCall &order : sync.takeCalls()) {
         callStore(order, [this](const StoreReply &reply) {
             sync.onReply(reply, steadyNow());
-            takeNews();
+            processUpdates();
             runStoreCalls();
         });
     }
@@ -58,40 +58,42 @@
 
 // ---- Leader tasks ----
 
-void GatewayServer::State::callDuty(const DutyCall &order, std::function<void(DutyOutcome)> onReply)
+void GatewayServer::State::callLeaderTask(const LeaderCall &order,
+                                          std::function<void(LeaderCallOutcome)> onReply)
 {
     HttpCall call;
     call.address = settings.dutyAddress;
-    call.request = platform::encodeDuty(order, settings.instance);
+    call.request = platform::encodeLeaderTask(order, settings.instance);
     call.connectTimeout = std::min(ConnectTimeout, order.timeout);
     call.progressTimeout = order.timeout;
     call.totalTimeout = order.timeout;
-    call.resetWhenGivenUp = true;
+    call.resetOnAbort = true;
     duties.fetch(std::move(call), [onReply = std::move(onReply)](const HttpResponse &response) {
-        onReply(platform::decodeDutyStatus(response.failure == HttpFailure::None ? response.status : 0));
+        onReply(
+            platform::decodeLeaderTaskStatus(response.failure == HttpFailure::None ? response.status : 0));
     });
 }
 
-void GatewayServer::State::runDuties()
+void GatewayServer::State::runLeaderTasks()
 {
     if (settings.dutyAddress.port == 0)
         return;
     const TimeMs now = steadyNow();
     const Leadership leadership = sync.leadership(now);
     usageDuty.tick(leadership, gateway.usage(), gateway.peers(), gateway.configuration(), now);
-    sync.setRecordsWhole(usageDuty.recordsAreWhole());
+    sync.setRecordsComplete(usageDuty.recordsComplete());
     engineSizing.tick(leadership, gateway.fleet(), gateway.rollouts(), gateway.demand(now),
                       gateway.configuration(), now);
     runRollouts(leadership, now);
     for (const StoreCall &order : usageDuty.takeStoreCalls())
         callStore(order, [this](const StoreReply &reply) { usageDuty.onStoreReply(reply, steadyNow()); });
-    for (const DutyCall &order : usageDuty.takeDutyCalls()) {
-        callDuty(order, [this, id = order.id](DutyOutcome outcome) {
-            usageDuty.onDutyReply(id, outcome, steadyNow());
+    for (const LeaderCall &order : usageDuty.takeLeaderCalls()) {
+        callLeaderTask(order, [this, id = order.id](LeaderCallOutcome outcome) {
+            usageDuty.onLeaderReply(id, outcome, steadyNow());
         });
     }
-    for (const DutyCall &order : engineSizing.takeCalls()) {
-        callDuty(order, [this, id = order.id](DutyOutcome outcome) {
+    for (const LeaderCall &order : engineSizing.takeCalls()) {
+        callLeaderTask(order, [this, id = order.id](LeaderCallOutcome outcome) {
             engineSizing.onReply(id, outcome, steadyNow());
         });
     }
@@ -100,23 +102,23 @@
 void GatewayServer::State::runRollouts(const Leadership &leadership, TimeMs now)
 {
     // Only the leader needs the observations, and collecting them scans all endpoints.
-    const std::map<ServiceName, RolloutFacts> facts
-        = leadership.held ? gateway.rolloutFacts(now) : std::map<ServiceName, RolloutFacts>();
-    rolloutDuty.tick(leadership, sync.rollouts(now), facts, now.count + gateway.usage().offset(), now);
-    for (const StoreCall &order : rolloutDuty.takeStoreCalls()) {
+    const std::map<ServiceName, RolloutObservations> facts
+        = leadership.held ? gateway.observeRollouts(now) : std::map<ServiceName, RolloutObservations>();
+    rolloutController.tick(leadership, sync.rollouts(now), facts, now.count + gateway.usage().offset(), now);
+    for (const StoreCall &order : rolloutController.takeStoreCalls()) {
         callStore(order, [this](const StoreReply &reply) {
-            rolloutDuty.onStoreReply(reply, steadyNow());
-            for (const RolloutDuty::Written &written : rolloutDuty.takeWritten())
-                sync.noteRolloutRecord(written.record, written.revision);
-            takeNews();
+            rolloutController.onStoreReply(reply, steadyNow());
+            for (const RolloutController::Written &written : rolloutController.takeWritten())
+                sync.onRolloutRecordStored(written.record, written.revision);
+            processUpdates();
         });
     }
 }
 
-void GatewayServer::State::takeNews()
+void GatewayServer::State::processUpdates()
 {
     const TimeMs now = steadyNow();
-    sendReports(fleet.takeNews(now), now);
+    sendReports(fleet.takeUpdates(now), now);
     const ServingConfigurationPtr configuration = gateway.configuration();
     if (configuration && configuration->version != limitsVersion) {
         limitsVersion = configuration->version;
@@ -162,11 +164,11 @@
     if (const PeerReport *report = std::get_if<PeerReport>(&*read)) {
         if (report->incarnation != incarnation)
             gateway.onPeerReport(*report, now);
-    } else if (const QuotaAsk *ask = std::get_if<QuotaAsk>(&*read)) {
-        gateway.onQuotaAsk(*ask, peerAddress());
+    } else if (const QuotaRequest *ask = std::get_if<QuotaRequest>(&*read)) {
+        gateway.onQuotaRequest(*ask, peerAddress());
         runActions();
-    } else if (const QuotaGift *gift = std::get_if<QuotaGift>(&*read)) {
-        gateway.onQuotaGift(*gift, now);
+    } else if (const QuotaTransfer *gift = std::get_if<QuotaTransfer>(&*read)) {
+        gateway.onQuotaTransfer(*gift, now);
         runActions();
     } else if (const CrashNotice *notice = std::get_if<CrashNotice>(&*read)) {
         gateway.onCrashNotice(*notice, now);
@@ -174,18 +176,18 @@
     } else if (const LimitNotice *limits = std::get_if<LimitNotice>(&*read)) {
         gateway.onLimitNotice(*limits, now);
         runActions();
-    } else if (const LimitAsk *limitAsk = std::get_if<LimitAsk>(&*read)) {
-        gateway.onLimitAsk(*limitAsk, peerAddress(), now);
+    } else if (const LimitShareRequest *limitAsk = std::get_if<LimitShareRequest>(&*read)) {
+        gateway.onLimitShareRequest(*limitAsk, peerAddress(), now);
         runActions();
-    } else if (const LimitGrant *grant = std::get_if<LimitGrant>(&*read)) {
+    } else if (const LimitShareGrant *grant = std::get_if<LimitShareGrant>(&*read)) {
         gateway.onLimitGrant(*grant, now);
         runActions();
-    } else if (const FreshnessQuestion *question = std::get_if<FreshnessQuestion>(&*read)) {
-        sync.onQuestion(*question, peerAddress(), now);
+    } else if (const FreshnessQuery *question = std::get_if<FreshnessQuery>(&*read)) {
+        sync.onFreshnessQuery(*question, peerAddress(), now);
         sendOutgoing();
-    } else if (const FreshnessAnswer *answer = std::get_if<FreshnessAnswer>(&*read)) {
-        sync.onAnswer(*answer, now);
-        takeNews();
+    } else if (const FreshnessReply *answer = std::get_if<FreshnessReply>(&*read)) {
+        sync.onFreshnessReply(*answer, now);
+        processUpdates();
         runStoreCalls();
     }
 }
@@ -195,7 +197,7 @@
     return {peerSender.address().to_string(), peerSender.port()};
 }
 
-void GatewayServer::State::run(TellPeer &action)
+void GatewayServer::State::run(SendToPeer &action)
 {
     sendDatagram(action.to,
                  std::visit([](const auto &each) { return encodeDatagram(each); }, action.message));
@@ -223,7 +225,7 @@
 {
     if (due.to.empty())
         return;
-    PeerReport report = gateway.report(due.whole, now);
+    PeerReport report = gateway.report(due.isFull, now);
     report.wallMs = wallNowMs();
     report.coresUsed = coresUsed;
     report.readsStore = !sync.readsFail(now);
@@ -234,7 +236,7 @@
 
 bool GatewayServer::State::measureCores(TimeMs now)
 {
-    if (now < coresMeasuredAt + CoresPace)
+    if (now < coresMeasuredAt + CoresInterval)
         return false;
     const double time = processorMs();
     if (coresMeasuredAt.count != 0) {
--- a/src/gateway/io/gatewayserver.cpp
+++ b/src/gateway/io/gatewayserver.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 /// Resolution of time-outs and of the queue; a finer one costs wake-ups.
-constexpr DurationMs TickPace{25};
+constexpr DurationMs TimerInterval{25};
 /// The settings file is also checked for changes without a signal; reading it takes some microseconds.
-constexpr DurationMs SettingsPace{2000};
-constexpr DurationMs LogPace{200};
+constexpr DurationMs SettingsCheckInterval{2000};
+constexpr DurationMs LogFlushInterval{200};
 /// A stopping daemon exits this long before the end of its grace period, when it would be killed.
 constexpr DurationMs StopMargin{700};
 /// An idle daemon keeps running this long after a stop signal, for callers that still hold its address.
-constexpr DurationMs LeastStopTime{5500};
+constexpr DurationMs MinStopTime{5500};
 
 uint64_t randomSeed()
 {
@@ -39,7 +39,7 @@
     out.instance = given.instance;
     out.failureDomain = given.failureDomain;
     out.revokeBound = given.revokeBound;
-    out.repeats = {given.repeatRatio, given.repeatSlack, given.repeatWindow};
+    out.retryLimits = {given.repeatRatio, given.repeatSlack, given.repeatWindow};
     out.quotaTolerance = {given.quotaOver, given.quotaSlack};
     out.usageWindow = given.usageWindow;
     out.drainTime = given.drainTime;
@@ -67,10 +67,10 @@
       log(settings.instance.value, wallNowMs),
       gateway(coreSettings(settings, incarnation, randomSeed()), log),
       sync(syncSettings(settings, incarnation, randomSeed()), log), fleet(sync, gateway),
-      usageDuty(settings.usageDue, log), engineSizing(settings.firstStart, log), rolloutDuty(log),
+      usageDuty(settings.usageDue, log), engineSizing(settings.firstStart, log), rolloutController(log),
       storeCodec(log), endpoints(io), store(io), duties(io)
 {
-    rolloutDuty.setBounds({settings.exposeShare, settings.exposeSlack});
+    rolloutController.setBounds({settings.exposeShare, settings.exposeSlack});
 }
 
 // ---- Start, tick and stop ----
@@ -84,7 +84,7 @@
     runStoreCalls();
     gateway.tick(now);
     runActions();
-    runDuties();
+    runLeaderTasks();
     if (measureCores(now))
         entryAddresses(now);
     // Also before any other daemon is known: from the first request on, requests are counted in windows of
@@ -92,16 +92,16 @@
     gateway.usage().setOffset(gateway.peers().medianWallOffset(wallNowMs() - now.count, now));
     sendReports(fleet.dueReports(now), now);
     if (now >= flushAt) {
-        flushAt = now + LogPace;
+        flushAt = now + LogFlushInterval;
         log.flush();
     }
     if (now >= settingsCheckAt) {
-        settingsCheckAt = now + SettingsPace;
+        settingsCheckAt = now + SettingsCheckInterval;
         reloadIfChanged(false);
     }
     if (stopping)
         checkStopped();
-    timer.expires_after(std::chrono::milliseconds(TickPace.count));
+    timer.expires_after(std::chrono::milliseconds(TimerInterval.count));
     timer.async_wait([this](boost::system::error_code code) {
         if (!code)
             tick();
@@ -121,7 +121,7 @@
         if (signal == SIGHUP)
             reloadIfChanged(true);
         else
-            startStop();
+            beginShutdown();
         waitForSignal();
     });
 }
@@ -138,26 +138,26 @@
         [&]() -> Result<void> {
             BOOST_LEAF_ASSIGN(const GatewayDaemonSettings changed, parseGatewaySettings(*text));
             gateway.applyBounds(coreSettings(changed, incarnation, 0));
-            rolloutDuty.setBounds({changed.exposeShare, changed.exposeSlack});
-            log.write(LogWeight::State, "reloaded", {{"asked", asked}});
+            rolloutController.setBounds({changed.exposeShare, changed.exposeSlack});
+            log.write(LogPriority::State, "reloaded", {{"asked", asked}});
             return {};
         },
         [&](const FieldError &error) {
-            log.write(LogWeight::State, "settings_unreadable", {{"error", toText(error)}});
+            log.write(LogPriority::State, "settings_unreadable", {{"error", toText(error)}});
         },
         [&] {
-            log.write(LogWeight::State, "settings_unreadable", {{"error", "unknown"}});
+            log.write(LogPriority::State, "settings_unreadable", {{"error", "unknown"}});
         });
 }
 
 // Directs callers to other daemons; requests already received, and those that still arrive, are served.
-void GatewayServer::State::startStop()
+void GatewayServer::State::beginShutdown()
 {
     if (stopping)
         return;
     stopping = true;
     stopStartedAt = steadyNow();
-    log.write(LogWeight::State, "stopping", {{"open_requests", callers.size()}});
+    log.write(LogPriority::State, "stopping", {{"open_requests", callers.size()}});
     gateway.startLeaving(stopStartedAt, stopStartedAt + settings.stopGrace - StopMargin);
     sync.startLeaving(stopStartedAt);
     runStoreCalls();
@@ -169,10 +169,10 @@
 {
     const DurationMs since = steadyNow() - stopStartedAt;
     const bool graceOver = since >= settings.stopGrace - StopMargin;
-    const bool idle = since >= LeastStopTime && gateway.isIdle() && callerServer->openConnections() == 0;
+    const bool idle = since >= MinStopTime && gateway.isIdle() && callerServer->openConnections() == 0;
     if (!graceOver && !idle)
         return;
-    log.write(LogWeight::State, "stopped", {{"open_requests", callers.size()}, {"after_ms", since.count}});
+    log.write(LogPriority::State, "stopped", {{"open_requests", callers.size()}, {"after_ms", since.count}});
     log.flush();
     io.stop();
 }
@@ -194,10 +194,10 @@
                                            [&state](const HttpExchangePtr &each) { state.onCaller(each); });
         state.otherServers.push_back(std::make_unique<HttpServer>(
             state.io, settings.readinessAddress, limits,
-            [&state](const HttpExchangePtr &each) { state.onReadyQuestion(each); }));
+            [&state](const HttpExchangePtr &each) { state.onReadinessRequest(each); }));
         state.otherServers.push_back(std::make_unique<HttpServer>(
             state.io, settings.entryAddress, limits,
-            [&state](const HttpExchangePtr &each) { state.onEntryQuestion(each); }));
+            [&state](const HttpExchangePtr &each) { state.onEntryRequest(each); }));
         if (settings.metricsPort != 0) {
             state.otherServers.push_back(std::make_unique<HttpServer>(
                 state.io, withPort(settings.callerAddress, settings.metricsPort), limits,
@@ -205,12 +205,12 @@
         }
         state.openPeerSocket();
     } catch (const boost::system::system_error &error) {
-        state.log.write(LogWeight::State, "cannot_listen", {{"error", error.what()}});
+        state.log.write(LogPriority::State, "cannot_listen", {{"error", error.what()}});
         state.log.flush();
         return 1;
     }
     state.log.write(
-        LogWeight::State, "started",
+        LogPriority::State, "started",
         {{"failure_domain", settings.failureDomain.value}, {"incarnation", state.incarnation.value}});
     state.signals.add(SIGTERM);
     state.signals.add(SIGINT);
--- a/src/gateway/io/gatewaystate.h
+++ b/src/gateway/io/gatewaystate.h
@@ -27,7 +27,7 @@
 /// unreachable, and no request was sent yet. A time-out long enough for a retransmission after packet loss on
 /// a slow network gains nothing.
 constexpr DurationMs ConnectTimeout{350};
-constexpr size_t MostDatagram = 60000;
+constexpr size_t MaxDatagramBytes = 60000;
 
 /// State of a gateway daemon: the core, its adapters and their connections. Private to the source files of
 /// the gateway server.
@@ -36,34 +36,34 @@
 
     // Callers.
     void onCaller(const HttpExchangePtr &exchange);
-    void onEntryQuestion(const HttpExchangePtr &exchange);
-    void onReadyQuestion(const HttpExchangePtr &exchange);
+    void onEntryRequest(const HttpExchangePtr &exchange);
+    void onReadinessRequest(const HttpExchangePtr &exchange);
     void onMetrics(const HttpExchangePtr &exchange);
 
     // Actions of the core.
     void runActions();
-    HttpExchangePtr takeCaller(CallerId caller);
+    HttpExchangePtr removeCaller(CallerId caller);
     void run(AnswerCaller &action);
     void run(BeginCallerStream &action);
     void run(CallerStreamData &action);
     void run(EndCallerStream &action);
     void run(SendAttempt &action);
     void run(CancelSent &action);
-    void run(MoveRun &action);
+    void run(MigrateGeneration &action);
     void run(ProbeEngine &action);
-    void run(TellPeer &action);
+    void run(SendToPeer &action);
 
     void callEndpoint(HttpCall call, DurationMs timeout, std::function<void(const HttpResponse &)> onReply);
 
     // The store.
     void runStoreCalls();
     void callStore(const StoreCall &order, std::function<void(const StoreReply &)> onReply);
-    void takeNews();
+    void processUpdates();
 
     // Tasks of the leader.
-    void runDuties();
+    void runLeaderTasks();
     void runRollouts(const Leadership &leadership, TimeMs now);
-    void callDuty(const DutyCall &order, std::function<void(DutyOutcome)> onReply);
+    void callLeaderTask(const LeaderCall &order, std::function<void(LeaderCallOutcome)> onReply);
 
     // The other daemons.
     void openPeerSocket();
@@ -79,7 +79,7 @@
     void tick();
     void waitForSignal();
     void reloadIfChanged(bool asked);
-    void startStop();
+    void beginShutdown();
     void checkStopped();
 
     GatewayDaemonSettings settings;
@@ -91,9 +91,9 @@
     Gateway gateway;
     StoreSync sync;
     FleetView fleet;
-    UsageDuty usageDuty;
+    UsageReporter usageDuty;
     EngineSizing engineSizing;
-    RolloutDuty rolloutDuty;
+    RolloutController rolloutController;
     platform::StoreCodec storeCodec;
     HttpClient endpoints;
     HttpClient store;
@@ -109,7 +109,7 @@
 
     boost::asio::ip::udp::socket peerSocket{io};
     boost::asio::ip::udp::endpoint peerSender;
-    std::vector<char> datagram = std::vector<char>(MostDatagram);
+    std::vector<char> datagram = std::vector<char>(MaxDatagramBytes);
 
     boost::asio::steady_timer timer{io};
     boost::asio::signal_set signals{io};
--- a/src/gateway/io/logsink.cpp
+++ b/src/gateway/io/logsink.cpp
@@ -15,7 +15,7 @@
 /// time from requests.
 constexpr uint32_t FailuresPerSecond = 200;
 /// Buffered bytes beyond which lines are dropped: the reader is gone or far behind.
-constexpr size_t MostPending = 256U << 10;
+constexpr size_t MaxPendingLogBytes = 256U << 10;
 constexpr int64_t MsPerSecond = 1000;
 
 } // namespace
@@ -24,22 +24,22 @@
     : instance_(std::move(instance)), clock_(std::move(clock))
 { }
 
-bool LogSink::admit(LogWeight weight, int64_t nowMs)
+bool LogSink::admit(LogPriority weight, int64_t nowMs)
 {
     if (nowMs / MsPerSecond != second_) {
         second_ = nowMs / MsPerSecond;
         ordinaryThisSecond_ = 0;
         failuresThisSecond_ = 0;
-        if (leftOut_ > 0 && pending_.size() < MostPending) {
-            const uint64_t count = std::exchange(leftOut_, 0);
+        if (droppedLines_ > 0 && pending_.size() < MaxPendingLogBytes) {
+            const uint64_t count = std::exchange(droppedLines_, 0);
             append("lines_left_out", {{"count", count}}, nowMs);
         }
     }
-    if (pending_.size() >= MostPending)
+    if (pending_.size() >= MaxPendingLogBytes)
         return false;
-    if (weight == LogWeight::State)
+    if (weight == LogPriority::State)
         return true;
-    if (weight == LogWeight::Ordinary)
+    if (weight == LogPriority::Ordinary)
         return ++ordinaryThisSecond_ <= OrdinaryPerSecond;
     return ++failuresThisSecond_ <= FailuresPerSecond;
 }
@@ -53,11 +53,11 @@
     pending_ += '\n';
 }
 
-void LogSink::write(LogWeight weight, const char *event, boost::json::object fields)
+void LogSink::write(LogPriority weight, const char *event, boost::json::object fields)
 {
     const int64_t nowMs = clock_();
     if (!admit(weight, nowMs)) {
-        ++leftOut_;
+        ++droppedLines_;
         return;
     }
     append(event, std::move(fields), nowMs);
--- a/src/gateway/io/logsink.h
+++ b/src/gateway/io/logsink.h
@@ -20,12 +20,12 @@
 
     LogSink(std::string instance, WallClock clock);
 
-    void write(LogWeight weight, const char *event, boost::json::object fields) override;
+    void write(LogPriority weight, const char *event, boost::json::object fields) override;
     /// Writes buffered lines to standard output as far as it accepts them.
     void flush();
 
 private:
-    bool admit(LogWeight weight, int64_t nowMs);
+    bool admit(LogPriority weight, int64_t nowMs);
     void append(const char *event, boost::json::object &&fields, int64_t nowMs);
 
     std::string instance_;
@@ -34,7 +34,7 @@
     int64_t second_ = 0;
     uint32_t ordinaryThisSecond_ = 0;
     uint32_t failuresThisSecond_ = 0;
-    uint64_t leftOut_ = 0;
+    uint64_t droppedLines_ = 0;
 };
 
 } // namespace cranberry
--- a/src/gateway/limits/quotas.h
+++ b/src/gateway/limits/quotas.h
@@ -16,9 +16,9 @@
 /// This daemon's role among those that share the limits.
 struct QuotaRole {
     size_t daemons = 1; ///< Daemons that share the limits.
-    size_t keepers = 1; ///< Quota pool daemons of one organisation's limit.
-    bool isKeeper = true; ///< Collects units that the other daemons don't need.
-    bool shares = true; ///< False: standby; a request needs units from other daemons.
+    size_t poolDaemons = 1; ///< Quota pool daemons of one organisation's limit.
+    bool isPoolDaemon = true; ///< Collects units that the other daemons don't need.
+    bool isServing = true; ///< False: standby; a request needs units from other daemons.
 };
 
 /// Units that this daemon lacks for a request within its organisation's limit.
@@ -55,18 +55,18 @@
     double give(const OrganisationName &organisation, double asked);
     void receive(const OrganisationName &organisation, double units);
     /// Adds deposited units up to this daemon's bound; the rest is lost.
-    void keep(const OrganisationName &organisation, double units);
+    void receiveDeposit(const OrganisationName &organisation, double units);
 
     std::vector<OrganisationBalance> balances() const;
 
 private:
     struct Balance {
         double units = 0;
-        double part = 0; ///< Burst divided by the number of daemons.
+        double share = 0; ///< Burst divided by the number of daemons.
         double bound = 0; ///< The balance is refilled up to this value.
         TimeMs filledAt;
         bool started = false;
-        bool shares = false; ///< At the last refill.
+        bool isServing = false; ///< At the last refill.
     };
     QuotaTolerance tolerance_;
     std::map<OrganisationName, Balance> balances_;
--- a/src/gateway/peers/entrychoice.cpp
+++ b/src/gateway/peers/entrychoice.cpp
@@ -8,20 +8,20 @@
 
 /// Cores chosen per core in use: the chosen daemons are loaded to half at most, so that they absorb a burst
 /// until the choice grows.
-constexpr double CoresForEachUsed = 2;
+constexpr double CoresPerUsedCore = 2;
 /// Of similar instances more are taken, because callers cache the addresses and a choice that is too small
 /// has effect for long. All are taken up to this number, with which the daemons can still exchange load
 /// reports several times a second; beyond it, only as many as keep the load at a quarter
 /// (`SimilarCoresPerUsedCore`).
-constexpr size_t LikeEntries = 24;
-constexpr double LikeCoresForEachUsed = 4;
+constexpr size_t MinSimilarEntries = 24;
+constexpr double SimilarCoresPerUsedCore = 4;
 /// An instance is similar to another one if it has at least this fraction of its cores.
-constexpr double LikePart = 0.7;
+constexpr double SimilarCoresRatio = 0.7;
 
 /// Time for which the choices must differ before the role changes. While member lists still grow after a
 /// start, a daemon that drops out of one choice is usually part of the next.
-constexpr DurationMs ServesAfter{400};
-constexpr DurationMs StandsByAfter{10000};
+constexpr DurationMs ServeDelay{400};
+constexpr DurationMs StandbyDelay{10000};
 
 // Among instances of equal strength, serving daemons come first, so that the choice stays stable.
 bool isBefore(const EntryCandidate &a, const EntryCandidate &b)
@@ -40,10 +40,10 @@
     double cores = 0;
     double weakest = 0; // Cores of the weakest candidate taken.
     for (const EntryCandidate &candidate : candidates) {
-        const bool isLike = candidate.cores >= LikePart * weakest;
-        const size_t least = isLike ? LikeEntries : LeastEntries;
-        const double wanted = (isLike ? LikeCoresForEachUsed : CoresForEachUsed) * coresUsed;
-        if (out.size() >= least && cores >= wanted)
+        const bool isSimilar = candidate.cores >= SimilarCoresRatio * weakest;
+        const size_t minCount = isSimilar ? MinSimilarEntries : MinEntries;
+        const double wantedCores = (isSimilar ? SimilarCoresPerUsedCore : CoresPerUsedCore) * coresUsed;
+        if (out.size() >= minCount && cores >= wantedCores)
             break;
         out.push_back(candidate.address);
         cores += candidate.cores;
@@ -52,18 +52,18 @@
     return out;
 }
 
-void ServingRole::note(bool chosen, TimeMs now)
+void ServingRole::recordChoice(bool chosen, TimeMs now)
 {
     if (chosen == serves_) {
-        otherSince_.reset();
+        differsSince_.reset();
         return;
     }
-    if (!otherSince_)
-        otherSince_ = now;
-    if (now - *otherSince_ < (serves_ ? StandsByAfter : ServesAfter))
+    if (!differsSince_)
+        differsSince_ = now;
+    if (now - *differsSince_ < (serves_ ? StandbyDelay : ServeDelay))
         return;
     serves_ = chosen;
-    otherSince_.reset();
+    differsSince_.reset();
 }
 
 } // namespace cranberry
--- a/src/gateway/peers/entrychoice.h
+++ b/src/gateway/peers/entrychoice.h
@@ -10,7 +10,7 @@
 
 /// Minimum number of daemons that callers are sent to, if there are that many. It bounds the share of the
 /// streams that the loss of one daemon costs.
-constexpr size_t LeastEntries = 8;
+constexpr size_t MinEntries = 8;
 
 /// A daemon that may be advertised to callers.
 struct EntryCandidate {
@@ -37,12 +37,12 @@
 {
 public:
     /// Records a choice that this daemon made or received from a peer.
-    void note(bool chosen, TimeMs now);
+    void recordChoice(bool chosen, TimeMs now);
     bool serves() const { return serves_; }
 
 private:
     bool serves_ = false;
-    std::optional<TimeMs> otherSince_; ///< Time since which the choices differ from `serves_`.
+    std::optional<TimeMs> differsSince_; ///< Time since which the choices differ from `serves_`.
 };
 
 } // namespace cranberry
--- a/src/gateway/peers/fleetview.cpp
+++ b/src/gateway/peers/fleetview.cpp
@@ -11,42 +11,43 @@
     const std::set<Address> silent = sync_.silentSources(now);
     const bool canRead = !sync_.readsFail(now);
     sync_.setQuarantine(gateway_.quarantine(now), now);
-    sync_.setReadsForAll(gateway_.peers().readsForAll(silent, now), now);
-    const bool isVouchedFor = sync_.isVouchedFor(now);
-    sync_.setSource(canRead && isVouchedFor && sync_.leadership(now).held
+    sync_.setStoreReader(gateway_.peers().isStoreReader(silent, now), now);
+    const bool isViewConfirmed = sync_.isViewConfirmed(now);
+    sync_.setSource(canRead && isViewConfirmed && sync_.leadership(now).held
                         ? std::nullopt
-                        : gateway_.peers().readerToAsk(canRead && isVouchedFor, silent, now));
+                        : gateway_.peers().readerToQuery(canRead && isViewConfirmed, silent, now));
 }
 
-ReportSchedule::Due FleetView::takeNews(TimeMs now)
+ReportSchedule::Due FleetView::takeUpdates(TimeMs now)
 {
-    StoreSync::News news = sync_.takeNews();
-    const bool membersRead = news.members.has_value();
-    if (news.members) {
-        gateway_.onMembers(std::move(*news.members), now, news.listed);
-        gateway_.onDutyHolder(news.dutyHolder);
+    StoreSync::Updates updates = sync_.takeUpdates();
+    const bool membersRead = updates.members.has_value();
+    if (updates.members) {
+        gateway_.onMembers(std::move(*updates.members), now, updates.listed);
+        gateway_.onLeader(updates.leader);
     }
-    if (news.entries)
-        gateway_.onEntriesTold(*news.entries);
-    for (const ConfigurationRead &read : news.configurations)
+    if (updates.entries)
+        gateway_.onEntriesFromPeer(*updates.entries);
+    for (const ConfigurationRead &read : updates.configurations)
         gateway_.onConfiguration(read, now);
-    if (news.rollouts)
-        gateway_.onRollouts(*news.rollouts, now);
-    for (const EndpointsRead &read : news.endpoints)
+    if (updates.rollouts)
+        gateway_.onRollouts(*updates.rollouts, now);
+    for (const EndpointsRead &read : updates.endpoints)
         gateway_.onEndpoints(read, now);
-    gateway_.onQuarantine(news.quarantine, VerdictSource::Store, now);
-    return reports_.afterNews(gateway_.peers(), gateway_.isReady(now), gateway_.hasNews(now), membersRead);
+    gateway_.onQuarantine(updates.quarantine, QuarantineSource::Store, now);
+    return reports_.afterUpdates(gateway_.peers(), gateway_.isReady(now), gateway_.mustReport(now),
+                                 membersRead);
 }
 
 ReportSchedule::Due FleetView::dueReports(TimeMs now)
 {
-    return reports_.due(gateway_.peers(), gateway_.hasNews(now), now);
+    return reports_.due(gateway_.peers(), gateway_.mustReport(now), now);
 }
 
 std::vector<Address> FleetView::entryAddresses(const EntryCandidate &own, double ownCoresUsed, TimeMs now)
 {
     Gateway::EntryAnswer answer = gateway_.callerAddresses(own, ownCoresUsed, now);
-    sync_.setEntries(answer.told ? std::vector<Address>() : answer.addresses);
+    sync_.setEntries(answer.fromPeer ? std::vector<Address>() : answer.addresses);
     sync_.setServing(gateway_.serves());
     return std::move(answer.addresses);
 }
--- a/src/gateway/peers/fleetview.h
+++ b/src/gateway/peers/fleetview.h
@@ -20,7 +20,7 @@
     void beforeStoreTick(TimeMs now);
     /// Passes on what was learned since the last call. Returns the reports that are sent at once instead of
     /// at their scheduled time.
-    ReportSchedule::Due takeNews(TimeMs now);
+    ReportSchedule::Due takeUpdates(TimeMs now);
     /// Returns the reports that are due at this tick.
     ReportSchedule::Due dueReports(TimeMs now);
     /// Returns the addresses that callers should connect to. `own` is this daemon as a candidate, if it is
--- a/src/gateway/peers/memberentry.cpp
+++ b/src/gateway/peers/memberentry.cpp
@@ -13,7 +13,7 @@
 
 /// Maximum number of members sent to peers while no daemon serves. Enough to tolerate the loss of some, and
 /// few enough that the list soon stays the same when hundreds of daemons start.
-constexpr size_t MembersToldAtStart = 24;
+constexpr size_t MaxMembersAtStart = 24;
 
 } // namespace
 
@@ -53,35 +53,36 @@
         [] { return std::optional<MemberEntry>(); });
 }
 
-bool isStronger(const MemberEntry &a, const MemberEntry &b)
+bool ranksBefore(const MemberEntry &a, const MemberEntry &b)
 {
     return a.cores != b.cores ? a.cores > b.cores : a.incarnation < b.incarnation;
 }
 
-std::vector<MemberEntry> toldMembers(const std::vector<MemberEntry> &members)
+std::vector<MemberEntry> advertisedMembers(const std::vector<MemberEntry> &members)
 {
-    std::vector<MemberEntry> told;
-    std::copy_if(members.begin(), members.end(), std::back_inserter(told),
+    std::vector<MemberEntry> advertised;
+    std::copy_if(members.begin(), members.end(), std::back_inserter(advertised),
                  [](const MemberEntry &member) { return member.serving; });
-    if (!told.empty())
-        return told;
-    told = members;
-    const size_t count = std::min(told.size(), MembersToldAtStart);
-    std::partial_sort(told.begin(), told.begin() + static_cast<std::ptrdiff_t>(count), told.end(),
-                      isStronger);
-    told.resize(count);
-    return told;
+    if (!advertised.empty())
+        return advertised;
+    advertised = members;
+    const size_t count = std::min(advertised.size(), MaxMembersAtStart);
+    std::partial_sort(advertised.begin(), advertised.begin() + static_cast<std::ptrdiff_t>(count),
+                      advertised.end(), ranksBefore);
+    advertised.resize(count);
+    return advertised;
 }
 
-uint64_t digestOfShared(uint64_t version, const std::vector<MemberEntry> &members, const LeaderEntry &leader)
+uint64_t sharedStateDigest(uint64_t version, const std::vector<MemberEntry> &members,
+                           const LeaderEntry &leader)
 {
     std::string digested = fmt::format("{};{}:{}={};", version, leader.era, leader.revision, leader.value);
-    for (const MemberEntry &member : toldMembers(members))
+    for (const MemberEntry &member : advertisedMembers(members))
         digested += fmt::format("{}={};", member.instance.value, memberText(member));
     return jsonDigestOf(digested);
 }
 
-InstanceName holderOf(const LeaderEntry &leader)
+InstanceName leaderInstance(const LeaderEntry &leader)
 {
     json::error_code code;
     const json::value value = json::parse(leader.value, code);
