--- a/src/gateway/peers/peerdatagrams.cpp
+++ b/src/gateway/peers/peerdatagrams.cpp
@@ -13,20 +13,20 @@
 namespace json = boost::json;
 
 /// From this value on, numbers are sent without their fraction.
-constexpr double WholeFrom = 1000;
+constexpr double IntegerThreshold = 1000;
 
 // Shortens numbers: with its full fraction one takes 22 bytes of text, and reports are most of the traffic
 // between daemons.
 json::value compact(double figure)
 {
-    if (std::abs(figure) >= WholeFrom)
+    if (std::abs(figure) >= IntegerThreshold)
         return static_cast<int64_t>(figure);
     return std::floor(figure * 100) / 100;
 }
 
 json::array rowOf(const ServiceDemand &demand)
 {
-    const ReadingSums &readings = demand.readings;
+    const PrefillSums &readings = demand.prefillSums;
     return {demand.service.value,
             compact(demand.prefillTokensPerSecond),
             compact(demand.prefillSquaresPerSecond),
@@ -48,10 +48,11 @@
     const std::string_view name(which);
     if (name == "loads") {
         for (const EndpointLoad &load : report.loads)
-            rows.push_back({load.life.id.value, load.life.start.unixMs, load.running, load.prefillTokens});
+            rows.push_back(
+                {load.incarnation.id.value, load.incarnation.start.unixMs, load.running, load.prefillTokens});
     } else if (name == "balances") {
         for (const OrganisationBalance &balance : report.balances) {
-            if (balance.spare > 0 || !report.whole)
+            if (balance.spare > 0 || !report.full)
                 rows.push_back({balance.organisation.value, compact(balance.spare)});
         }
     } else if (name == "windows") {
@@ -104,7 +105,7 @@
     return out;
 }
 
-void takeTrialRow(const json::array &fields, std::vector<TrialCount> &out)
+void decodeTrialRow(const json::array &fields, std::vector<TrialCount> &out)
 {
     const json::array &counts = fields[3].as_array();
     for (size_t i = 0; i + 2 < counts.size(); i += 3) {
@@ -145,7 +146,7 @@
     report.leaving = object.at("leaving").as_bool();
     report.ready = object.at("ready").as_bool();
     report.readsStore = object.at("readsStore").as_bool();
-    report.whole = object.at("whole").as_bool();
+    report.full = object.at("whole").as_bool();
     report.sequence = object.at("sequence").to_number<uint64_t>();
     report.wallMs = object.at("wallMs").to_number<int64_t>();
     report.coresUsed = object.at("coresUsed").to_number<double>();
@@ -165,7 +166,7 @@
                                   count[2].to_number<uint64_t>()});
     }
     for (const json::value &value : object.at("trials").as_array())
-        takeTrialRow(row(value, 4), report.trials);
+        decodeTrialRow(row(value, 4), report.trials);
     for (const json::value &value : object.at("demands").as_array()) {
         const json::array &demand = row(value, 11);
         const auto figure = [&demand](size_t i) { return demand[i].to_number<double>(); };
@@ -188,7 +189,7 @@
             {"leaving", report.leaving},
             {"ready", report.ready},
             {"readsStore", report.readsStore},
-            {"whole", report.whole},
+            {"whole", report.full},
             {"sequence", report.sequence},
             {"wallMs", report.wallMs},
             {"coresUsed", report.coresUsed},
@@ -199,33 +200,33 @@
             {"trials", rowsOf(report.trials)}};
 }
 
-json::object encoded(const FreshnessQuestion &question)
+json::object encoded(const FreshnessQuery &query)
 {
     return {{"kind", "question"},
-            {"id", question.from.value},
-            {"number", question.number},
-            {"era", question.era},
-            {"endpointsDigest", question.endpointsDigest},
-            {"sharedDigest", question.sharedDigest},
-            {"configurationVersion", question.configurationVersion},
-            {"entriesDigest", question.entriesDigest},
-            {"quarantineDigest", question.quarantineDigest},
-            {"rolloutsDigest", question.rolloutsDigest}};
-}
-
-FreshnessQuestion decodedQuestion(const json::object &object)
-{
-    FreshnessQuestion question;
-    question.from.value = object.at("id").to_number<uint64_t>();
-    question.number = object.at("number").to_number<uint64_t>();
-    question.era = object.at("era").to_number<uint64_t>();
-    question.endpointsDigest = object.at("endpointsDigest").to_number<uint64_t>();
-    question.sharedDigest = object.at("sharedDigest").to_number<uint64_t>();
-    question.configurationVersion = object.at("configurationVersion").to_number<uint64_t>();
-    question.entriesDigest = object.at("entriesDigest").to_number<uint64_t>();
-    question.quarantineDigest = object.at("quarantineDigest").to_number<uint64_t>();
-    question.rolloutsDigest = object.at("rolloutsDigest").to_number<uint64_t>();
-    return question;
+            {"id", query.from.value},
+            {"number", query.number},
+            {"era", query.era},
+            {"endpointsDigest", query.endpointsDigest},
+            {"sharedDigest", query.sharedDigest},
+            {"configurationVersion", query.configurationVersion},
+            {"entriesDigest", query.entriesDigest},
+            {"quarantineDigest", query.quarantineDigest},
+            {"rolloutsDigest", query.rolloutsDigest}};
+}
+
+FreshnessQuery decodedFreshnessQuery(const json::object &object)
+{
+    FreshnessQuery query;
+    query.from.value = object.at("id").to_number<uint64_t>();
+    query.number = object.at("number").to_number<uint64_t>();
+    query.era = object.at("era").to_number<uint64_t>();
+    query.endpointsDigest = object.at("endpointsDigest").to_number<uint64_t>();
+    query.sharedDigest = object.at("sharedDigest").to_number<uint64_t>();
+    query.configurationVersion = object.at("configurationVersion").to_number<uint64_t>();
+    query.entriesDigest = object.at("entriesDigest").to_number<uint64_t>();
+    query.quarantineDigest = object.at("quarantineDigest").to_number<uint64_t>();
+    query.rolloutsDigest = object.at("rolloutsDigest").to_number<uint64_t>();
+    return query;
 }
 
 json::array rowsOf(const std::vector<EndpointEntry> &entries)
@@ -240,49 +241,49 @@
     return rows;
 }
 
-json::object encoded(const FreshnessAnswer &answer)
+json::object encoded(const FreshnessReply &reply)
 {
     json::object out{{"kind", "answer"},
-                     {"number", answer.number},
-                     {"era", answer.era},
-                     {"sharedAgeMs", answer.sharedAge.count},
-                     {"sharedDigest", answer.sharedDigest},
-                     {"configurationVersion", answer.configurationVersion},
-                     {"endpointsAgeMs", answer.endpointsAge.count},
-                     {"endpointsDigest", answer.endpointsDigest},
-                     {"entriesDigest", answer.entriesDigest},
-                     {"quarantineDigest", answer.quarantineDigest},
-                     {"rolloutsDigest", answer.rolloutsDigest}};
-    if (answer.rollouts)
-        out["rollouts"] = rowsOf(*answer.rollouts);
-    if (answer.hasQuarantine)
-        out["quarantine"] = quarantineRows(answer.quarantine);
-    if (answer.hasEntries) {
+                     {"number", reply.number},
+                     {"era", reply.era},
+                     {"sharedAgeMs", reply.sharedAge.count},
+                     {"sharedDigest", reply.sharedDigest},
+                     {"configurationVersion", reply.configurationVersion},
+                     {"endpointsAgeMs", reply.endpointsAge.count},
+                     {"endpointsDigest", reply.endpointsDigest},
+                     {"entriesDigest", reply.entriesDigest},
+                     {"quarantineDigest", reply.quarantineDigest},
+                     {"rolloutsDigest", reply.rolloutsDigest}};
+    if (reply.rollouts)
+        out["rollouts"] = rowsOf(*reply.rollouts);
+    if (reply.hasQuarantine)
+        out["quarantine"] = quarantineRows(reply.quarantine);
+    if (reply.hasEntries) {
         json::array entries;
-        for (const Address &address : answer.entries)
+        for (const Address &address : reply.entries)
             entries.push_back(json::value(toText(address)));
         out["entries"] = std::move(entries);
     }
-    if (answer.hasMembers) {
+    if (reply.hasMembers) {
         json::array members;
-        for (const MemberEntry &member : answer.members)
+        for (const MemberEntry &member : reply.members)
             members.push_back({member.instance.value, member.incarnation.value, member.failureDomain.value,
                                toText(member.callerAddress), toText(member.peerAddress), member.cores,
                                member.serving});
         out["members"] = std::move(members);
-        out["listed"] = answer.listed;
-        out["leader"] = {answer.leader.value, answer.leader.revision, answer.leader.lease};
+        out["listed"] = reply.listed;
+        out["leader"] = {reply.leader.value, reply.leader.revision, reply.leader.lease};
     }
-    if (answer.hasEndpoints) {
-        out["endpoints"] = rowsOf(answer.endpoints);
-        out["endpointsFrom"] = answer.endpointsFrom;
-        out["endpointsTotal"] = answer.endpointsTotal;
+    if (reply.hasEndpoints) {
+        out["endpoints"] = rowsOf(reply.endpoints);
+        out["endpointsFrom"] = reply.endpointsFrom;
+        out["endpointsTotal"] = reply.endpointsTotal;
     }
-    if (answer.endpointChanges) {
-        out["endpointsBase"] = answer.endpointsBase;
-        out["changed"] = rowsOf(answer.endpointChanges->changed);
+    if (reply.endpointChanges) {
+        out["endpointsBase"] = reply.endpointsBase;
+        out["changed"] = rowsOf(reply.endpointChanges->changed);
         json::array gone;
-        for (const EndpointId &id : answer.endpointChanges->gone)
+        for (const EndpointId &id : reply.endpointChanges->gone)
             gone.push_back(json::value(id.value));
         out["gone"] = std::move(gone);
     }
@@ -328,79 +329,82 @@
     return member;
 }
 
-FreshnessAnswer decodedAnswer(const json::object &object)
+FreshnessReply decodedFreshnessReply(const json::object &object)
 {
-    FreshnessAnswer answer;
-    answer.number = object.at("number").to_number<uint64_t>();
-    answer.era = object.at("era").to_number<uint64_t>();
-    answer.sharedAge.count = object.at("sharedAgeMs").to_number<int64_t>();
-    answer.sharedDigest = object.at("sharedDigest").to_number<uint64_t>();
-    answer.configurationVersion = object.at("configurationVersion").to_number<uint64_t>();
-    answer.endpointsAge.count = object.at("endpointsAgeMs").to_number<int64_t>();
-    answer.endpointsDigest = object.at("endpointsDigest").to_number<uint64_t>();
-    answer.entriesDigest = object.at("entriesDigest").to_number<uint64_t>();
-    answer.quarantineDigest = object.at("quarantineDigest").to_number<uint64_t>();
-    answer.rolloutsDigest = object.at("rolloutsDigest").to_number<uint64_t>();
+    FreshnessReply reply;
+    reply.number = object.at("number").to_number<uint64_t>();
+    reply.era = object.at("era").to_number<uint64_t>();
+    reply.sharedAge.count = object.at("sharedAgeMs").to_number<int64_t>();
+    reply.sharedDigest = object.at("sharedDigest").to_number<uint64_t>();
+    reply.configurationVersion = object.at("configurationVersion").to_number<uint64_t>();
+    reply.endpointsAge.count = object.at("endpointsAgeMs").to_number<int64_t>();
+    reply.endpointsDigest = object.at("endpointsDigest").to_number<uint64_t>();
+    reply.entriesDigest = object.at("entriesDigest").to_number<uint64_t>();
+    reply.quarantineDigest = object.at("quarantineDigest").to_number<uint64_t>();
+    reply.rolloutsDigest = object.at("rolloutsDigest").to_number<uint64_t>();
     if (const json::value *rows = object.if_contains("rollouts"))
-        answer.rollouts = decodedRollouts(*rows);
+        reply.rollouts = decodedRollouts(*rows);
     if (const json::value *rows = object.if_contains("quarantine")) {
         std::optional<std::vector<QuarantinedRequest>> list = quarantineFromRows(*rows);
-        answer.hasQuarantine = list.has_value();
-        answer.quarantine = std::move(list).value_or(std::vector<QuarantinedRequest>());
+        reply.hasQuarantine = list.has_value();
+        reply.quarantine = std::move(list).value_or(std::vector<QuarantinedRequest>());
     }
     if (const json::value *entries = object.if_contains("entries")) {
-        answer.hasEntries = true;
+        reply.hasEntries = true;
         for (const json::value &value : entries->as_array())
-            answer.entries.push_back(addressFromText(text(value)).value_or(Address{}));
+            reply.entries.push_back(addressFromText(text(value)).value_or(Address{}));
     }
     if (const json::value *members = object.if_contains("members")) {
-        answer.hasMembers = true;
+        reply.hasMembers = true;
         for (const json::value &value : members->as_array())
-            answer.members.push_back(decodedMember(row(value, 7)));
-        answer.listed = object.at("listed").to_number<size_t>();
+            reply.members.push_back(decodedMember(row(value, 7)));
+        reply.listed = object.at("listed").to_number<size_t>();
         const json::array &leader = row(object.at("leader"), 3);
-        answer.leader
-            = {text(leader[0]), leader[1].to_number<uint64_t>(), leader[2].to_number<uint64_t>(), answer.era};
+        reply.leader
+            = {text(leader[0]), leader[1].to_number<uint64_t>(), leader[2].to_number<uint64_t>(), reply.era};
     }
     if (const json::value *rows = object.if_contains("endpoints")) {
-        answer.hasEndpoints = true;
-        answer.endpoints = decodedEndpoints(*rows);
-        answer.endpointsFrom = object.at("endpointsFrom").to_number<size_t>();
-        answer.endpointsTotal = object.at("endpointsTotal").to_number<size_t>();
+        reply.hasEndpoints = true;
+        reply.endpoints = decodedEndpoints(*rows);
+        reply.endpointsFrom = object.at("endpointsFrom").to_number<size_t>();
+        reply.endpointsTotal = object.at("endpointsTotal").to_number<size_t>();
     }
     if (const json::value *changed = object.if_contains("changed")) {
         EndpointChanges changes;
         changes.changed = decodedEndpoints(*changed);
         for (const json::value &id : object.at("gone").as_array())
             changes.gone.push_back(EndpointId{text(id)});
-        answer.endpointsBase = object.at("endpointsBase").to_number<uint64_t>();
-        answer.endpointChanges = std::move(changes);
+        reply.endpointsBase = object.at("endpointsBase").to_number<uint64_t>();
+        reply.endpointChanges = std::move(changes);
     }
-    return answer;
+    return reply;
 }
 
-json::object encoded(const QuotaAsk &ask)
+json::object encoded(const QuotaRequest &request)
 {
     return {{"kind", "ask"},
-            {"number", ask.number},
-            {"organisation", ask.organisation.value},
-            {"units", ask.units}};
+            {"number", request.number},
+            {"organisation", request.organisation.value},
+            {"units", request.units}};
 }
 
-json::object encoded(const QuotaGift &gift)
+json::object encoded(const QuotaTransfer &transfer)
 {
-    return {{"kind", "gift"},        {"id", gift.from.value},
-            {"number", gift.number}, {"organisation", gift.organisation.value},
-            {"units", gift.units},   {"deposit", gift.deposit}};
+    return {{"kind", "gift"},
+            {"id", transfer.from.value},
+            {"number", transfer.number},
+            {"organisation", transfer.organisation.value},
+            {"units", transfer.units},
+            {"deposit", transfer.deposit}};
 }
 
-QuotaAsk decodedAsk(const json::object &object)
+QuotaRequest decodedQuotaRequest(const json::object &object)
 {
     return {object.at("number").to_number<uint64_t>(), OrganisationName{text(object.at("organisation"))},
             object.at("units").to_number<double>()};
 }
 
-QuotaGift decodedGift(const json::object &object)
+QuotaTransfer decodedQuotaTransfer(const json::object &object)
 {
     return {Incarnation{object.at("id").to_number<uint64_t>()}, object.at("number").to_number<uint64_t>(),
             OrganisationName{text(object.at("organisation"))}, object.at("units").to_number<double>(),
@@ -409,27 +413,27 @@
 
 json::object encoded(const CrashNotice &notice)
 {
-    json::array losses;
-    for (const EndpointLoss &loss : notice.losses)
-        losses.push_back(
-            {toText(loss.request), loss.endpoint.id.value, loss.endpoint.start.unixMs, loss.ranWell});
+    json::array crashes;
+    for (const EndpointCrash &crash : notice.crashes)
+        crashes.push_back(
+            {toText(crash.request), crash.endpoint.id.value, crash.endpoint.start.unixMs, crash.hadStreamed});
     json::array answered;
     for (const RequestDigest request : notice.answered)
         answered.push_back(json::value(toText(request)));
     return {{"kind", "crash"},
-            {"losses", std::move(losses)},
+            {"losses", std::move(crashes)},
             {"answered", std::move(answered)},
             {"quarantined", quarantineRows(notice.quarantined)}};
 }
 
-CrashNotice decodedCrash(const json::object &object)
+CrashNotice decodedCrashNotice(const json::object &object)
 {
     CrashNotice notice;
     for (const json::value &value : object.at("losses").as_array()) {
         const json::array &loss = row(value, 4);
         const std::optional<RequestDigest> request = requestDigestFromText(text(loss[0]));
         if (request)
-            notice.losses.push_back(
+            notice.crashes.push_back(
                 {*request, {EndpointId{text(loss[1])}, {loss[2].to_number<int64_t>()}}, loss[3].as_bool()});
     }
     for (const json::value &value : object.at("answered").as_array()) {
@@ -446,67 +450,67 @@
 
 json::object encoded(const LimitNotice &notice)
 {
-    json::array words;
-    for (const LimitWord &word : notice.words)
-        words.push_back({word.endpoint.id.value, word.endpoint.start.unixMs,
-                         word.limit ? word.limit->perSecond : NoLimit, word.clears, word.age.count,
-                         word.standing.count});
-    return {{"kind", "limits"}, {"words", std::move(words)}};
+    json::array updates;
+    for (const LimitUpdate &update : notice.updates)
+        updates.push_back({update.endpoint.id.value, update.endpoint.start.unixMs,
+                           update.limit ? update.limit->perSecond : NoLimit, update.responsesWithoutLimit,
+                           update.age.count, update.knownFor.count});
+    return {{"kind", "limits"}, {"words", std::move(updates)}};
 }
 
-LimitNotice decodedLimits(const json::object &object)
+LimitNotice decodedLimitNotice(const json::object &object)
 {
     LimitNotice notice;
     for (const json::value &value : object.at("words").as_array()) {
         const json::array &fields = row(value, 6);
-        LimitWord word;
-        word.endpoint = {EndpointId{text(fields[0])}, {fields[1].to_number<int64_t>()}};
+        LimitUpdate update;
+        update.endpoint = {EndpointId{text(fields[0])}, {fields[1].to_number<int64_t>()}};
         const double perSecond = fields[2].to_number<double>();
         if (perSecond >= 0)
-            word.limit = RequestRate{perSecond};
-        word.clears = fields[3].to_number<uint32_t>();
-        word.age.count = std::max<int64_t>(fields[4].to_number<int64_t>(), 0);
-        word.standing.count = std::max<int64_t>(fields[5].to_number<int64_t>(), 0);
-        notice.words.push_back(std::move(word));
+            update.limit = RequestRate{perSecond};
+        update.responsesWithoutLimit = fields[3].to_number<uint32_t>();
+        update.age.count = std::max<int64_t>(fields[4].to_number<int64_t>(), 0);
+        update.knownFor.count = std::max<int64_t>(fields[5].to_number<int64_t>(), 0);
+        notice.updates.push_back(std::move(update));
     }
     return notice;
 }
 
-json::object encoded(const LimitAsk &ask)
+json::object encoded(const LimitShareRequest &request)
 {
     return {{"kind", "limitAsk"},
-            {"endpoint", ask.endpoint.id.value},
-            {"start", ask.endpoint.start.unixMs},
-            {"number", ask.number},
-            {"waiting", ask.waiting}};
+            {"endpoint", request.endpoint.id.value},
+            {"start", request.endpoint.start.unixMs},
+            {"number", request.number},
+            {"waiting", request.waiting}};
 }
 
-EndpointLife decodedLife(const json::object &object)
+EndpointIncarnation decodedIncarnation(const json::object &object)
 {
     return {EndpointId{text(object.at("endpoint"))}, {object.at("start").to_number<int64_t>()}};
 }
 
-LimitAsk decodedLimitAsk(const json::object &object)
+LimitShareRequest decodedLimitShareRequest(const json::object &object)
 {
-    return {decodedLife(object), object.at("number").to_number<uint64_t>(),
+    return {decodedIncarnation(object), object.at("number").to_number<uint64_t>(),
             object.at("waiting").to_number<uint32_t>()};
 }
 
-json::object encoded(const LimitGrant &grant)
+json::object encoded(const LimitShareGrant &grant)
 {
     return {{"kind", "limitGrant"},
             {"endpoint", grant.endpoint.id.value},
             {"start", grant.endpoint.start.unixMs},
             {"id", grant.from.value},
-            {"ask", grant.ask},
+            {"ask", grant.requestNumber},
             {"number", grant.number},
             {"requests", grant.requests},
             {"waiting", grant.waiting}};
 }
 
-LimitGrant decodedLimitGrant(const json::object &object)
+LimitShareGrant decodedLimitShareGrant(const json::object &object)
 {
-    return {decodedLife(object),
+    return {decodedIncarnation(object),
             Incarnation{object.at("id").to_number<uint64_t>()},
             object.at("ask").to_number<uint64_t>(),
             object.at("number").to_number<uint64_t>(),
@@ -520,21 +524,21 @@
     if (kind == "report")
         return decodedReport(object);
     if (kind == "question")
-        return decodedQuestion(object);
+        return decodedFreshnessQuery(object);
     if (kind == "answer")
-        return decodedAnswer(object);
+        return decodedFreshnessReply(object);
     if (kind == "ask")
-        return decodedAsk(object);
+        return decodedQuotaRequest(object);
     if (kind == "gift")
-        return decodedGift(object);
+        return decodedQuotaTransfer(object);
     if (kind == "crash")
-        return decodedCrash(object);
+        return decodedCrashNotice(object);
     if (kind == "limits")
-        return decodedLimits(object);
+        return decodedLimitNotice(object);
     if (kind == "limitAsk")
-        return decodedLimitAsk(object);
+        return decodedLimitShareRequest(object);
     if (kind == "limitGrant")
-        return decodedLimitGrant(object);
+        return decodedLimitShareGrant(object);
     return std::nullopt;
 }
 
--- a/src/gateway/peers/peerdatagrams.h
+++ b/src/gateway/peers/peerdatagrams.h
@@ -4,8 +4,8 @@
 
 namespace cranberry {
 
-using PeerDatagram = std::variant<PeerReport, FreshnessQuestion, FreshnessAnswer, QuotaAsk, QuotaGift,
-                                  CrashNotice, LimitNotice, LimitAsk, LimitGrant>;
+using PeerDatagram = std::variant<PeerReport, FreshnessQuery, FreshnessReply, QuotaRequest, QuotaTransfer,
+                                  CrashNotice, LimitNotice, LimitShareRequest, LimitShareGrant>;
 
 /// Encodes a message between daemons as the text of one datagram, and decodes it. Decoding returns nothing
 /// for text that is not a valid message.
--- a/src/gateway/peers/peertable.cpp
+++ b/src/gateway/peers/peertable.cpp
@@ -13,30 +13,30 @@
 
 /// Each serving daemon sends reports to every other one. The interval grows with their number, so that a
 /// daemon sends and receives about eighty reports a second at most.
-constexpr DurationMs ShortestReportPace{200};
-constexpr DurationMs ReportPacePerDaemon{12};
+constexpr DurationMs MinReportInterval{200};
+constexpr DurationMs ReportIntervalPerDaemon{12};
 /// Full reports are several times as long, and only the leader needs them. Two must arrive in time for a
 /// window's usage, which is due some seconds after the window's end.
-constexpr DurationMs WholeReportPacePerDaemon{60};
-constexpr DurationMs LongestWholeReportPace{1000};
+constexpr DurationMs FullReportIntervalPerDaemon{60};
+constexpr DurationMs MaxFullReportInterval{1000};
 /// A peer counts as absent after this many missed reports.
-constexpr int64_t SilentReports = 6;
+constexpr int64_t MaxMissedReports = 6;
 /// Store readers; each of the other daemons queries one of them. Their number grows with that of the daemons,
 /// so that one reader replies to about a hundred. Standby daemons do not appear in all member lists; the
 /// number of readers then follows from that of the serving daemons, of which there may be only one for
 /// sixteen on standby.
-constexpr size_t LeastReaders = 3;
-constexpr size_t SharersPerReader = 6;
+constexpr size_t MinReaders = 3;
+constexpr size_t ServingPerReader = 6;
 constexpr size_t MembersPerReader = 100;
 /// The quota pool changes with the daemons that are ready; a change may be noticed this much later.
-constexpr DurationMs KeepersPace{200};
-constexpr size_t MostWindowsKept = 12; ///< Windows kept per peer; older ones are reported or expired.
-constexpr DurationMs PeerMemory{
+constexpr DurationMs QuotaPoolRefreshInterval{200};
+constexpr size_t MaxWindowsPerPeer = 12; ///< Windows kept per peer; older ones are reported or expired.
+constexpr DurationMs PeerRetention{
     60000}; ///< Usage windows of a peer that is gone are still needed for a while.
 /// A decrease of the number of serving daemons takes effect only after this time. When the store fails, all
 /// entries lapse at once and are back about a second after its recovery; if the daemons were taken for gone,
 /// each remaining one would take the full limit.
-constexpr DurationMs SharersMemory{3000};
+constexpr DurationMs ServingCountHoldTime{3000};
 
 bool takesRequests(const PeerReport &report)
 {
@@ -47,21 +47,21 @@
 
 // ---- Serving daemons ----
 
-DurationMs PeerTable::reportPace() const
+DurationMs PeerTable::reportInterval() const
 {
-    return std::max(ShortestReportPace, ReportPacePerDaemon * static_cast<int64_t>(targets_.size() + 1));
+    return std::max(MinReportInterval, ReportIntervalPerDaemon * static_cast<int64_t>(targets_.size() + 1));
 }
 
-DurationMs PeerTable::wholeReportPace() const
+DurationMs PeerTable::fullReportInterval() const
 {
-    const DurationMs wanted = WholeReportPacePerDaemon * static_cast<int64_t>(targets_.size() + 1);
-    return std::max(reportPace(), std::min(wanted, LongestWholeReportPace));
+    const DurationMs wanted = FullReportIntervalPerDaemon * static_cast<int64_t>(targets_.size() + 1);
+    return std::max(reportInterval(), std::min(wanted, MaxFullReportInterval));
 }
 
 // Half an interval more, since reports wait for a tick and take time on the network.
-DurationMs PeerTable::silence() const
+DurationMs PeerTable::silenceTimeout() const
 {
-    return reportPace() * SilentReports + reportPace() / 2;
+    return reportInterval() * MaxMissedReports + reportInterval() / 2;
 }
 
 void PeerTable::setMembers(std::vector<MemberEntry> members, TimeMs now, size_t listed)
@@ -71,8 +71,8 @@
         before.insert(target->incarnation);
     members_ = std::move(members);
     listed_ = std::max(listed, members_.size());
-    ranked_.clear();
-    keeperOrders_.clear();
+    quotaPools_.clear();
+    quotaPoolOrders_.clear();
     order_.clear();
     selfEntry_ = nullptr;
     for (const MemberEntry &member : members_) {
@@ -83,74 +83,74 @@
     std::sort(order_.begin(), order_.end(), [](const MemberEntry *a, const MemberEntry *b) {
         if (a->serving != b->serving)
             return a->serving;
-        return isStronger(*a, *b);
+        return ranksBefore(*a, *b);
     });
     anyServes_ = !order_.empty() && order_.front()->serving;
-    sharers_ = order_;
+    serving_ = order_;
     if (anyServes_)
-        std::erase_if(sharers_, [](const MemberEntry *member) { return !member->serving; });
-    isSharer_ = !anyServes_ || (selfEntry_ && selfEntry_->serving);
-    const size_t count = countSharers();
-    if (count >= mostSharers_ || now >= mostSharersUntil_) {
-        mostSharers_ = count;
-        mostSharersUntil_ = now + SharersMemory;
+        std::erase_if(serving_, [](const MemberEntry *member) { return !member->serving; });
+    isServing_ = !anyServes_ || (selfEntry_ && selfEntry_->serving);
+    const size_t count = currentServingCount();
+    if (count >= maxServingCount_ || now >= maxServingCountUntil_) {
+        maxServingCount_ = count;
+        maxServingCountUntil_ = now + ServingCountHoldTime;
     }
-    findTargets();
+    updateTargets();
     newTargets_ = targets_;
     std::erase_if(newTargets_,
                   [&before](const MemberEntry *target) { return before.contains(target->incarnation); });
 }
 
-void PeerTable::setDutyHolder(const InstanceName &holder)
+void PeerTable::setLeader(const InstanceName &leader)
 {
-    if (holder == dutyHolder_)
+    if (leader == leader_)
         return;
-    dutyHolder_ = holder;
-    findTargets();
+    leader_ = leader;
+    updateTargets();
 }
 
 // While none serves, after a start, the daemons that rank first get the reports: callers are sent to them.
-void PeerTable::findTargets()
-{
-    const size_t told = anyServes_ ? sharers_.size() : std::min(order_.size(), LeastEntries);
-    targets_.assign(order_.begin(), order_.begin() + static_cast<std::ptrdiff_t>(told));
-    const auto holder
-        = std::find_if(order_.begin() + static_cast<std::ptrdiff_t>(told), order_.end(),
-                       [this](const MemberEntry *member) { return member->instance == dutyHolder_; });
-    if (holder != order_.end())
-        targets_.push_back(*holder);
+void PeerTable::updateTargets()
+{
+    const size_t targetCount = anyServes_ ? serving_.size() : std::min(order_.size(), MinEntries);
+    targets_.assign(order_.begin(), order_.begin() + static_cast<std::ptrdiff_t>(targetCount));
+    const auto leader
+        = std::find_if(order_.begin() + static_cast<std::ptrdiff_t>(targetCount), order_.end(),
+                       [this](const MemberEntry *member) { return member->instance == leader_; });
+    if (leader != order_.end())
+        targets_.push_back(*leader);
     // A daemon that is not listed yet, or is on standby and thus omitted from the members that its peers
     // send, receives no reports.
     const bool isAmong = selfEntry_ && std::erase(targets_, selfEntry_) > 0;
     isTarget_ = isAmong || members_.empty();
 }
 
-size_t PeerTable::countSharers() const
+size_t PeerTable::currentServingCount() const
 {
     if (!anyServes_)
         return std::max<size_t>(listed_ + (selfEntry_ || listed_ > members_.size() ? 0 : 1), 1);
-    return sharers_.size() + (isSharer_ && !selfEntry_ ? 1 : 0);
+    return serving_.size() + (isServing_ && !selfEntry_ ? 1 : 0);
 }
 
-size_t PeerTable::sharers(TimeMs now) const
+size_t PeerTable::servingCount(TimeMs now) const
 {
-    const size_t count = countSharers();
-    return now < mostSharersUntil_ ? std::max(count, mostSharers_) : count;
+    const size_t count = currentServingCount();
+    return now < maxServingCountUntil_ ? std::max(count, maxServingCount_) : count;
 }
 
 // ---- Presence of daemons ----
 
 size_t PeerTable::readerCount() const
 {
-    const size_t wanted = anyServes_ ? sharers_.size() / SharersPerReader : listed_ / MembersPerReader;
-    return std::max(wanted, LeastReaders);
+    const size_t wanted = anyServes_ ? serving_.size() / ServingPerReader : listed_ / MembersPerReader;
+    return std::max(wanted, MinReaders);
 }
 
 // A daemon that receives reports counts only the peers that it hears. Otherwise peers count unless they are
 // known not to reply to queries.
 bool PeerTable::mayRead(const MemberEntry &member, TimeMs now) const
 {
-    if (const Peer *peer = heard(member, now))
+    if (const Peer *peer = heardPeer(member, now))
         return takesRequests(peer->report) && peer->report.readsStore;
     return !isTarget_;
 }
@@ -173,14 +173,15 @@
     return out;
 }
 
-bool PeerTable::readsForAll(const std::set<Address> &silent, TimeMs now) const
+bool PeerTable::isStoreReader(const std::set<Address> &silent, TimeMs now) const
 {
     const MemberPtrs all = readers(true, silent, now);
     return std::find(all.begin(), all.end(), selfEntry_) != all.end();
 }
 
 // The other daemons are distributed over the readers by a hash of their own names.
-std::optional<Address> PeerTable::readerToAsk(bool canRead, const std::set<Address> &silent, TimeMs now) const
+std::optional<Address> PeerTable::readerToQuery(bool canRead, const std::set<Address> &silent,
+                                                TimeMs now) const
 {
     const MemberPtrs all = readers(canRead, silent, now);
     if (all.empty() || std::find(all.begin(), all.end(), selfEntry_) != all.end())
@@ -188,53 +189,53 @@
     return all[std::hash<std::string>()(self_.value) % all.size()]->peerAddress;
 }
 
-const PeerTable::Peer *PeerTable::heard(const MemberEntry &member, TimeMs now) const
+const PeerTable::Peer *PeerTable::heardPeer(const MemberEntry &member, TimeMs now) const
 {
     const auto found = peers_.find(member.incarnation);
-    return found != peers_.end() && now - found->second.heardAt < silence() ? &found->second : nullptr;
+    return found != peers_.end() && now - found->second.heardAt < silenceTimeout() ? &found->second : nullptr;
 }
 
 bool PeerTable::isHeardReady(const MemberEntry &member, TimeMs now) const
 {
-    const Peer *peer = heard(member, now);
+    const Peer *peer = heardPeer(member, now);
     return peer && takesRequests(peer->report);
 }
 
-bool PeerTable::saidItLeaves(const MemberEntry &member, TimeMs now) const
+bool PeerTable::reportedLeaving(const MemberEntry &member, TimeMs now) const
 {
-    const Peer *peer = heard(member, now);
+    const Peer *peer = heardPeer(member, now);
     return peer && !takesRequests(peer->report);
 }
 
 bool PeerTable::isPresent(const MemberEntry &member, TimeMs now) const
 {
-    return isSelf(member) || isHeardReady(member, now) || (!isTarget_ && !saidItLeaves(member, now));
+    return isSelf(member) || isHeardReady(member, now) || (!isTarget_ && !reportedLeaving(member, now));
 }
 
-std::vector<const MemberEntry *> PeerTable::presentSharers(TimeMs now) const
+std::vector<const MemberEntry *> PeerTable::presentServing(TimeMs now) const
 {
     MemberPtrs out;
-    std::copy_if(sharers_.begin(), sharers_.end(), std::back_inserter(out),
+    std::copy_if(serving_.begin(), serving_.end(), std::back_inserter(out),
                  [&](const MemberEntry *member) { return isPresent(*member, now); });
-    return out.size() * 2 <= sharers_.size() ? MemberPtrs() : out;
+    return out.size() * 2 <= serving_.size() ? MemberPtrs() : out;
 }
 
-size_t PeerTable::heardSharers(TimeMs now) const
+size_t PeerTable::heardServingCount(TimeMs now) const
 {
     return static_cast<size_t>(
-        std::count_if(sharers_.begin(), sharers_.end(), [&](const MemberEntry *member) {
-            return isSelf(*member) || heard(*member, now) != nullptr;
+        std::count_if(serving_.begin(), serving_.end(), [&](const MemberEntry *member) {
+            return isSelf(*member) || heardPeer(*member, now) != nullptr;
         }));
 }
 
 bool PeerTable::hearsAll(TimeMs now) const
 {
-    return !isTarget_ || heardSharers(now) == sharers_.size();
+    return !isTarget_ || heardServingCount(now) == serving_.size();
 }
 
 bool PeerTable::hearsMost(TimeMs now) const
 {
-    return isTarget_ && heardSharers(now) * 2 > sharers_.size();
+    return isTarget_ && heardServingCount(now) * 2 > serving_.size();
 }
 
 std::vector<EntryCandidate> PeerTable::entryCandidates(bool mustHear, TimeMs now) const
@@ -242,7 +243,8 @@
     std::vector<EntryCandidate> out;
     for (const MemberEntry *member : order_) {
         const bool standsBy = anyServes_ && !member->serving;
-        const bool counts = mustHear && !standsBy ? isHeardReady(*member, now) : !saidItLeaves(*member, now);
+        const bool counts
+            = mustHear && !standsBy ? isHeardReady(*member, now) : !reportedLeaving(*member, now);
         if (!isSelf(*member) && counts)
             out.push_back({member->callerAddress, member->cores, member->serving});
     }
@@ -254,15 +256,15 @@
 namespace {
 
 // Keeps the parts that a partial report omits.
-void keepOtherParts(PeerReport &report, const PeerReport &before)
+void keepOmittedParts(PeerReport &report, const PeerReport &before)
 {
     report.demands = before.demands;
     report.trials = before.trials;
     for (const OrganisationBalance &old : before.balances) {
-        const bool isTold = std::any_of(
+        const bool isReported = std::any_of(
             report.balances.begin(), report.balances.end(),
             [&old](const OrganisationBalance &each) { return each.organisation == old.organisation; });
-        if (!isTold)
+        if (!isReported)
             report.balances.push_back(old);
     }
 }
@@ -272,36 +274,36 @@
 bool PeerTable::take(const PeerReport &report, TimeMs now)
 {
     std::erase_if(peers_, [now](const std::pair<const Incarnation, Peer> &entry) {
-        return now - entry.second.heardAt > PeerMemory && !entry.second.counted;
+        return now - entry.second.heardAt > PeerRetention && !entry.second.counted;
     });
     const bool isNew = !peers_.contains(report.incarnation);
     Peer &peer = peers_[report.incarnation];
     if (!isNew && report.sequence <= peer.report.sequence)
         return false;
     for (const WindowCount &each : report.windows) {
-        uint64_t &most = peer.windows[each.window][each.organisation];
-        most = std::max(most, each.count);
+        uint64_t &highest = peer.windows[each.window][each.organisation];
+        highest = std::max(highest, each.count);
     }
-    while (peer.windows.size() > MostWindowsKept)
+    while (peer.windows.size() > MaxWindowsPerPeer)
         peer.windows.erase(peer.windows.begin());
     if (peer.counted)
-        count(peer, false);
+        applyLoads(peer, false);
     const PeerReport before = std::exchange(peer.report, report);
-    if (!report.whole)
-        keepOtherParts(peer.report, before);
-    count(peer, true);
+    if (!report.full)
+        keepOmittedParts(peer.report, before);
+    applyLoads(peer, true);
     peer.heardAt = now;
     peer.wallOffset = report.wallMs - now.count;
     return true;
 }
 
-const PeerTable::MemberPtrs &PeerTable::keeperOrder(const OrganisationName &organisation) const
+const PeerTable::MemberPtrs &PeerTable::quotaPoolOrder(const OrganisationName &organisation) const
 {
-    MemberPtrs &order = keeperOrders_[organisation];
-    if (order.size() == sharers_.size())
+    MemberPtrs &order = quotaPoolOrders_[organisation];
+    if (order.size() == serving_.size())
         return order;
     std::vector<std::pair<uint64_t, const MemberEntry *>> ranked;
-    for (const MemberEntry *member : sharers_) {
+    for (const MemberEntry *member : serving_) {
         const std::string &name = organisation.value;
         ranked.emplace_back(XXH3_64bits_withSeed(name.data(), name.size(), member->incarnation.value),
                             member);
@@ -313,26 +315,26 @@
     return order;
 }
 
-std::vector<const MemberEntry *> PeerTable::keepers(const OrganisationName &organisation, TimeMs now) const
+std::vector<const MemberEntry *> PeerTable::quotaPool(const OrganisationName &organisation, TimeMs now) const
 {
-    RankedKeepers &known = ranked_[organisation];
-    if (known.rankedAt.count != 0 && now - known.rankedAt < KeepersPace)
-        return known.keepers;
+    RankedQuotaPool &known = quotaPools_[organisation];
+    if (known.rankedAt.count != 0 && now - known.rankedAt < QuotaPoolRefreshInterval)
+        return known.daemons;
     known.rankedAt = now;
-    known.keepers.clear();
-    const auto isThere = [&](const MemberEntry *member) { return isPresent(*member, now); };
+    known.daemons.clear();
+    const auto isHere = [&](const MemberEntry *member) { return isPresent(*member, now); };
     // In a network partition that hears half of the daemons or less there is no quota pool: each partition
     // would have its own, and together they could save up more than the burst.
-    const auto there = std::count_if(sharers_.begin(), sharers_.end(), isThere);
-    if (static_cast<size_t>(there) * 2 <= sharers_.size())
+    const auto presentCount = std::count_if(serving_.begin(), serving_.end(), isHere);
+    if (static_cast<size_t>(presentCount) * 2 <= serving_.size())
         return {};
-    for (const MemberEntry *member : keeperOrder(organisation)) {
-        if (known.keepers.size() == Keepers)
+    for (const MemberEntry *member : quotaPoolOrder(organisation)) {
+        if (known.daemons.size() == QuotaPoolSize)
             break;
-        if (isThere(member))
-            known.keepers.push_back(member);
+        if (isHere(member))
+            known.daemons.push_back(member);
     }
-    return known.keepers;
+    return known.daemons;
 }
 
 std::vector<PeerTable::Spare> PeerTable::spares(const OrganisationName &organisation, double presumed,
@@ -340,12 +342,12 @@
 {
     std::vector<Spare> out;
     if (!isTarget_) {
-        for (const MemberEntry *keeper : keepers(organisation, now))
-            out.push_back({keeper->peerAddress, presumed});
+        for (const MemberEntry *member : quotaPool(organisation, now))
+            out.push_back({member->peerAddress, presumed});
         return out;
     }
-    for (const MemberEntry *member : sharers_) {
-        const Peer *peer = isSelf(*member) ? nullptr : heard(*member, now);
+    for (const MemberEntry *member : serving_) {
+        const Peer *peer = isSelf(*member) ? nullptr : heardPeer(*member, now);
         if (!peer)
             continue;
         for (const OrganisationBalance &balance : peer->report.balances) {
@@ -358,25 +360,25 @@
 }
 
 // The sums are updated incrementally: with many daemons, reports arrive in every tick.
-void PeerTable::count(Peer &peer, bool add)
+void PeerTable::applyLoads(Peer &peer, bool add)
 {
     peer.counted = add;
     for (const EndpointLoad &load : peer.report.loads) {
-        EndpointLoad &sum = loadSums_[load.life];
-        sum.life = load.life;
+        EndpointLoad &sum = loadSums_[load.incarnation];
+        sum.incarnation = load.incarnation;
         sum.running = add ? sum.running + load.running : sum.running - load.running;
         sum.prefillTokens
             = add ? sum.prefillTokens + load.prefillTokens : sum.prefillTokens - load.prefillTokens;
         if (sum.running == 0 && sum.prefillTokens == 0)
-            loadSums_.erase(load.life);
+            loadSums_.erase(load.incarnation);
     }
 }
 
-const std::map<EndpointLife, EndpointLoad> &PeerTable::loadSums(TimeMs now)
+const std::map<EndpointIncarnation, EndpointLoad> &PeerTable::loadSums(TimeMs now)
 {
     for (std::pair<const Incarnation, Peer> &entry : peers_) {
-        if (entry.second.counted && now - entry.second.heardAt >= silence())
-            count(entry.second, false);
+        if (entry.second.counted && now - entry.second.heardAt >= silenceTimeout())
+            applyLoads(entry.second, false);
     }
     return loadSums_;
 }
@@ -385,7 +387,7 @@
 {
     std::map<ServiceName, ServiceDemand> sums;
     for (const std::pair<const Incarnation, Peer> &entry : peers_) {
-        if (now - entry.second.heardAt >= silence())
+        if (now - entry.second.heardAt >= silenceTimeout())
             continue;
         for (const ServiceDemand &demand : entry.second.report.demands)
             sums[demand.service].add(demand);
@@ -405,7 +407,7 @@
 {
     double sum = 0;
     for (const std::pair<const Incarnation, Peer> &entry : peers_) {
-        if (now - entry.second.heardAt < silence())
+        if (now - entry.second.heardAt < silenceTimeout())
             sum += entry.second.report.coresUsed;
     }
     return sum;
@@ -428,7 +430,7 @@
 {
     std::vector<int64_t> offsets{ownOffset};
     for (const std::pair<const Incarnation, Peer> &entry : peers_) {
-        if (now - entry.second.heardAt < silence())
+        if (now - entry.second.heardAt < silenceTimeout())
             offsets.push_back(entry.second.wallOffset);
     }
     const auto middle = offsets.begin() + static_cast<int64_t>(offsets.size() / 2);
--- a/src/gateway/peers/peertable.h
+++ b/src/gateway/peers/peertable.h
@@ -18,13 +18,13 @@
 public:
     /// Number of daemons that pool the unused part of an organisation's limit. With many daemons each balance
     /// is smaller than a request, and a request can't query all of them.
-    static constexpr size_t Keepers = 3;
+    static constexpr size_t QuotaPoolSize = 3;
 
     explicit PeerTable(InstanceName self) : self_(std::move(self)) { }
 
     /// `listed` is the total number of daemons if `members` has only some of them.
     void setMembers(std::vector<MemberEntry> members, TimeMs now, size_t listed = 0);
-    void setDutyHolder(const InstanceName &holder);
+    void setLeader(const InstanceName &leader);
     const std::vector<MemberEntry> &members() const { return members_; }
     /// Stores a report. Returns false for one that is older than, or the same as, the last one of its sender.
     bool take(const PeerReport &report, TimeMs now);
@@ -33,13 +33,13 @@
 
     /// Number of daemons that share the limits and the engines: those that serve, or all while none is listed
     /// as serving. At least 1. A decrease takes effect only after some seconds.
-    size_t sharers(TimeMs now) const;
-    bool isSharer() const { return isSharer_; } ///< This daemon shares the limits and the engines.
+    size_t servingCount(TimeMs now) const;
+    bool isServing() const { return isServing_; } ///< This daemon shares the limits and the engines.
     /// Daemons that this one sends its load reports to: those that serve and the leader, without itself.
     const std::vector<const MemberEntry *> &reportTargets() const { return targets_; }
     bool isReportTarget() const { return isTarget_; } ///< The other daemons send their reports to this one.
-    DurationMs reportPace() const; ///< Time between two reports to the same daemon.
-    DurationMs wholeReportPace() const; ///< Time between two full reports to the same daemon.
+    DurationMs reportInterval() const; ///< Time between two reports to the same daemon.
+    DurationMs fullReportInterval() const; ///< Time between two full reports to the same daemon.
     /// Report targets that were added by the last change of the members.
     const std::vector<const MemberEntry *> &newTargets() const { return newTargets_; }
 
@@ -48,9 +48,9 @@
     /// Returns the daemon to query instead of reading the store, or nothing if this daemon is one of the few
     /// store readers. A reader whose own reads fail (`canRead` is false) also queries a peer, if there is
     /// one. Daemons in `silent` are excluded: they did not reply to recent queries.
-    std::optional<Address> readerToAsk(bool canRead, const std::set<Address> &silent, TimeMs now) const;
+    std::optional<Address> readerToQuery(bool canRead, const std::set<Address> &silent, TimeMs now) const;
     /// This daemon is one of the few store readers, provided that its reads succeed.
-    bool readsForAll(const std::set<Address> &silent, TimeMs now) const;
+    bool isStoreReader(const std::set<Address> &silent, TimeMs now) const;
     // Reports have arrived recently from all, or from more than half, of the serving daemons.
     bool hearsAll(TimeMs now) const;
     bool hearsMost(TimeMs now) const;
@@ -62,11 +62,11 @@
 
     /// Returns the few daemons that pool the unused part of an organisation's limit, in the order of their
     /// rank, which is the same on all daemons. The result may include this daemon.
-    std::vector<const MemberEntry *> keepers(const OrganisationName &organisation, TimeMs now) const;
+    std::vector<const MemberEntry *> quotaPool(const OrganisationName &organisation, TimeMs now) const;
     /// Returns the serving daemons that are present, including this one if it serves. Returns none in a
     /// network partition that hears half of them or less: otherwise several partitions would each hand out
     /// the full limit.
-    std::vector<const MemberEntry *> presentSharers(TimeMs now) const;
+    std::vector<const MemberEntry *> presentServing(TimeMs now) const;
     /// Units of an organisation's limit that another daemon reported as spare.
     struct Spare {
         Address address;
@@ -76,7 +76,7 @@
     /// assumes `presumed` units at each daemon of the quota pool.
     std::vector<Spare> spares(const OrganisationName &organisation, double presumed, TimeMs now) const;
     /// Sum of the load at each endpoint over the daemons that have reported recently.
-    const std::map<EndpointLife, EndpointLoad> &loadSums(TimeMs now);
+    const std::map<EndpointIncarnation, EndpointLoad> &loadSums(TimeMs now);
     std::map<ServiceName, ServiceDemand> demandSums(TimeMs now) const;
     /// Trial counts of roll-outs from all daemons that are still remembered, including ones that are gone.
     std::vector<TrialCount> trialCounts() const;
@@ -98,49 +98,49 @@
         std::map<int64_t, std::map<OrganisationName, uint64_t>> windows;
     };
     using MemberPtrs = std::vector<const MemberEntry *>;
-    void findTargets();
+    void updateTargets();
     bool isSelf(const MemberEntry &member) const { return &member == selfEntry_; }
-    DurationMs silence() const;
-    size_t countSharers() const;
-    void count(Peer &peer, bool add);
-    const Peer *heard(const MemberEntry &member, TimeMs now) const;
+    DurationMs silenceTimeout() const;
+    size_t currentServingCount() const;
+    void applyLoads(Peer &peer, bool add);
+    const Peer *heardPeer(const MemberEntry &member, TimeMs now) const;
     bool isHeardReady(const MemberEntry &member, TimeMs now) const;
-    bool saidItLeaves(const MemberEntry &member, TimeMs now) const;
+    bool reportedLeaving(const MemberEntry &member, TimeMs now) const;
     bool isPresent(const MemberEntry &member, TimeMs now) const;
     bool mayRead(const MemberEntry &member, TimeMs now) const;
     MemberPtrs readers(bool canRead, const std::set<Address> &silent, TimeMs now) const;
     size_t readerCount() const;
-    size_t heardSharers(TimeMs now) const;
+    size_t heardServingCount(TimeMs now) const;
     /// Serving daemons in the order in which they are chosen for an organisation's quota pool.
-    const MemberPtrs &keeperOrder(const OrganisationName &organisation) const;
+    const MemberPtrs &quotaPoolOrder(const OrganisationName &organisation) const;
 
     InstanceName self_;
     std::vector<MemberEntry> members_;
-    InstanceName dutyHolder_;
+    InstanceName leader_;
 
     // Recomputed when the members change. Comparing names at each call instead took 272 us per tick on an
     // idle daemon among 295 with 40 organisations, compared with 80 us.
     const MemberEntry *selfEntry_ = nullptr; ///< Points into `members_`; null if this daemon is not listed.
     MemberPtrs order_; ///< Serving daemons first, then by `ranksBefore`.
-    MemberPtrs sharers_; ///< Leading part of `order_`.
+    MemberPtrs serving_; ///< Leading part of `order_`.
     MemberPtrs targets_;
     MemberPtrs newTargets_;
     size_t listed_ = 0;
     bool anyServes_ = false;
-    bool isSharer_ = true;
+    bool isServing_ = true;
     bool isTarget_ = true;
-    size_t mostSharers_ = 1; ///< Lower bound of the count until `maxServingCountUntil_`.
-    TimeMs mostSharersUntil_;
-    mutable std::map<OrganisationName, MemberPtrs> keeperOrders_;
+    size_t maxServingCount_ = 1; ///< Lower bound of the count until `maxServingCountUntil_`.
+    TimeMs maxServingCountUntil_;
+    mutable std::map<OrganisationName, MemberPtrs> quotaPoolOrders_;
 
     std::map<Incarnation, Peer> peers_;
-    std::map<EndpointLife, EndpointLoad> loadSums_;
-    struct RankedKeepers {
+    std::map<EndpointIncarnation, EndpointLoad> loadSums_;
+    struct RankedQuotaPool {
         TimeMs rankedAt;
-        MemberPtrs keepers;
+        MemberPtrs daemons;
     };
     /// Cached, since it is needed for each request and report.
-    mutable std::map<OrganisationName, RankedKeepers> ranked_;
+    mutable std::map<OrganisationName, RankedQuotaPool> quotaPools_;
 };
 
 } // namespace cranberry
--- a/src/gateway/peers/reportschedule.h
+++ b/src/gateway/peers/reportschedule.h
@@ -12,20 +12,20 @@
 public:
     struct Due {
         std::vector<Address> to;
-        bool whole = false; ///< The report is full, not limited to the parts that are urgent.
+        bool isFull = false; ///< The report is full, not limited to the parts that are urgent.
     };
 
     /// Returns the reports that are due at this tick. Without `mustReport` there are none.
-    Due due(const PeerTable &peers, bool hasNews, TimeMs now);
+    Due due(const PeerTable &peers, bool mustReport, TimeMs now);
     /// Returns the reports that must be sent at once after an update from the store or a peer. `membersRead`:
     /// the update had a member list.
-    Due afterNews(const PeerTable &peers, bool ready, bool hasNews, bool membersRead);
+    Due afterUpdates(const PeerTable &peers, bool ready, bool mustReport, bool membersRead);
     /// Returns a full report to all targets, for use before this daemon exits.
     static Due toAll(const PeerTable &peers);
 
 private:
     TimeMs countedAt_;
-    double turns_ = 0; ///< Reports that are due, with the fraction carried over between ticks.
+    double pendingReports_ = 0; ///< Reports that are due, with the fraction carried over between ticks.
     size_t next_ = 0;
     uint64_t round_ = 0;
     bool wasReady_ = false;
--- a/src/gateway/peers/sharedview.cpp
+++ b/src/gateway/peers/sharedview.cpp
@@ -10,7 +10,7 @@
 
 /// How long the caller addresses received from a peer stay valid. It spans several queries, since some may be
 /// lost.
-constexpr DurationMs ToldEntriesLast{2000};
+constexpr DurationMs PeerEntriesLifetime{2000};
 
 } // namespace
 
@@ -19,7 +19,7 @@
     confirmedAt_ = std::max(confirmedAt_, event.askedAt);
     if (!event.configuration || (configuration_ && event.configuration->version <= configuration_->version))
         return;
-    log_.write(LogWeight::State, "configuration",
+    log_.write(LogPriority::State, "configuration",
                {{"version", event.configuration->version},
                 {"before", configuration_ ? configuration_->version : 0},
                 {"routes", event.configuration->routes.size()},
@@ -45,7 +45,7 @@
         }
         if (found == known.end() || found->second.entry.leaving != entry.leaving
             || found->second.entry.start < entry.start) {
-            log_.write(LogWeight::State, "endpoint",
+            log_.write(LogPriority::State, "endpoint",
                        {{"endpoint", entry.id.value},
                         {"start", entry.start.unixMs},
                         {"service", entry.service.value},
@@ -55,8 +55,8 @@
                         {"leaving", entry.leaving}});
         }
     }
-    noteVersions(event);
-    fleet_.take(event, now);
+    recordListedVersions(event);
+    fleet_.applyList(event, now);
     admitAwaiting(now);
     runQueue(now);
 }
@@ -67,17 +67,17 @@
     peers_.setMembers(std::move(members), now, listed);
     if (!changed)
         return;
-    tellNewServing(now);
-    log_.write(LogWeight::State, "members",
+    notifyNewServing(now);
+    log_.write(LogPriority::State, "members",
                {{"count", peers_.members().size()},
-                {"sharers", peers_.sharers(now)},
-                {"shares", peers_.isSharer()}});
+                {"sharers", peers_.servingCount(now)},
+                {"shares", peers_.isServing()}});
 }
 
-void Gateway::onEntriesTold(const EntriesTold &event)
+void Gateway::onEntriesFromPeer(const EntriesFromPeer &event)
 {
-    toldEntries_ = event.addresses;
-    toldEntriesAt_ = event.askedAt;
+    peerEntries_ = event.addresses;
+    peerEntriesAt_ = event.askedAt;
 }
 
 void Gateway::onPeerReport(const PeerReport &report, TimeMs now)
@@ -94,10 +94,10 @@
         quotas_.refill(organisation, quotaRole(organisation.name, now), now);
 }
 
-PeerReport Gateway::report(bool whole, TimeMs now)
+PeerReport Gateway::report(bool isFull, TimeMs now)
 {
     PeerReport out;
-    out.whole = whole;
+    out.full = isFull;
     out.incarnation = settings_.incarnation;
     out.instance = settings_.instance;
     out.leaving = leavingSince_.has_value();
@@ -111,13 +111,14 @@
     demand_.sample(running, now);
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : fleet_.all()) {
         if (entry.second.running > 0)
-            out.loads.push_back({entry.second.life(), entry.second.running, entry.second.prefillTokens});
+            out.loads.push_back(
+                {entry.second.incarnation(), entry.second.running, entry.second.prefillTokens});
     }
     refillQuotas(now);
     out.balances = quotas_.balances();
-    if (!whole) {
+    if (!isFull) {
         std::erase_if(out.balances, [&](const OrganisationBalance &each) {
-            return !isAmong(peers_.keepers(each.organisation, now));
+            return !includesThisDaemon(peers_.quotaPool(each.organisation, now));
         });
         return out;
     }
@@ -140,7 +141,7 @@
     return sums;
 }
 
-bool Gateway::hasNews(TimeMs now) const
+bool Gateway::mustReport(TimeMs now) const
 {
     const auto newest = usage_.counts().lower_bound(usage_.windowAt(now) - 1);
     return peers_.isReportTarget() || !exchanges_.empty() || newest != usage_.counts().end();
@@ -153,11 +154,11 @@
 {
     const bool ready = isReady(now);
     const bool hears = peers_.hearsMost(now);
-    const bool told = !hears && now - toldEntriesAt_ < ToldEntriesLast && !toldEntries_.empty();
+    const bool fromPeer = !hears && now - peerEntriesAt_ < PeerEntriesLifetime && !peerEntries_.empty();
     const double used = peers_.coresUsed(now) + ownCoresUsed;
     std::vector<Address> entries;
-    if (told) {
-        entries = toldEntries_;
+    if (fromPeer) {
+        entries = peerEntries_;
         if (!ready)
             std::erase(entries, own.address);
     } else {
@@ -166,15 +167,15 @@
             candidates.push_back({own.address, own.cores, servingRole_.serves()});
         entries = chooseEntries(std::move(candidates), used);
     }
-    servingRole_.note(std::find(entries.begin(), entries.end(), own.address) != entries.end(), now);
+    servingRole_.recordChoice(std::find(entries.begin(), entries.end(), own.address) != entries.end(), now);
     if (std::exchange(entryCount_, entries.size()) != entries.size())
-        log_.write(LogWeight::State, "entries",
+        log_.write(LogPriority::State, "entries",
                    {{"count", entries.size()},
-                    {"told", told},
+                    {"told", fromPeer},
                     {"hears_most", hears},
                     {"serves", servingRole_.serves()},
                     {"cores_used", used}});
-    return {std::move(entries), told};
+    return {std::move(entries), fromPeer};
 }
 
 } // namespace cranberry
--- a/src/gateway/requests/eventstream.h
+++ b/src/gateway/requests/eventstream.h
@@ -19,7 +19,7 @@
 public:
     void append(std::string_view bytes) { buffer_.append(bytes); }
     std::optional<StreamEvent> next();
-    bool holdsPartial() const { return !buffer_.empty(); }
+    bool hasPartialEvent() const { return !buffer_.empty(); }
     void clear() { buffer_.clear(); }
 
 private:
--- a/src/gateway/requests/gatewayretrybudget.cpp
+++ b/src/gateway/requests/gatewayretrybudget.cpp
@@ -8,11 +8,11 @@
 
 /// Fraction of the budget that this daemon uses. The rest covers restarted daemons, which don't know what
 /// they used before, and moments in which the daemons don't agree on how many of them share the slack.
-constexpr double UsedPart = 0.85;
+constexpr double UsedFraction = 0.85;
 
 } // namespace
 
-RepeatBudget::Slot &RepeatBudget::slotAt(const ServiceName &service, TimeMs now)
+GatewayRetryBudget::Slot &GatewayRetryBudget::slotAt(const ServiceName &service, TimeMs now)
 {
     std::deque<Slot> &slots = slots_[service];
     const int64_t second = now.count / 1000;
@@ -23,29 +23,29 @@
     return slots.back();
 }
 
-void RepeatBudget::request(const ServiceName &service, TimeMs now)
+void GatewayRetryBudget::countRequest(const ServiceName &service, TimeMs now)
 {
     ++slotAt(service, now).requests;
 }
 
-bool RepeatBudget::take(const ServiceName &service, double slackShare, TimeMs now)
+bool GatewayRetryBudget::take(const ServiceName &service, double slackShare, TimeMs now)
 {
     if (!allows(service, slackShare, now))
         return false;
-    ++slotAt(service, now).repeats;
+    ++slotAt(service, now).retries;
     return true;
 }
 
-bool RepeatBudget::allows(const ServiceName &service, double slackShare, TimeMs now)
+bool GatewayRetryBudget::allows(const ServiceName &service, double slackShare, TimeMs now)
 {
     slotAt(service, now);
     double requests = 0;
-    double repeats = 0;
+    double retries = 0;
     for (const Slot &slot : slots_[service]) {
         requests += slot.requests;
-        repeats += slot.repeats;
+        retries += slot.retries;
     }
-    return repeats + 1 <= UsedPart * (limits_.ratio * requests + limits_.slack * slackShare);
+    return retries + 1 <= UsedFraction * (limits_.ratio * requests + limits_.slack * slackShare);
 }
 
 } // namespace cranberry
--- a/src/gateway/requests/gatewayretrybudget.h
+++ b/src/gateway/requests/gatewayretrybudget.h
@@ -8,7 +8,7 @@
 namespace cranberry {
 
 /// Limits the retries (sends beyond the first of each request) of a service, over all daemons.
-struct RepeatLimits {
+struct GatewayRetryLimits {
     double ratio = 0.2; ///< Retries allowed per request of the service.
     double slack = 10; ///< Retries allowed beyond the ratio, over all daemons.
     DurationMs window{10000};
@@ -16,11 +16,11 @@
 
 /// This daemon's part of the retries that all daemons may make: the ratio of its own requests, and its share
 /// of the slack. Prevents retry storms, in which a failing service gets a multiple of its normal load.
-class RepeatBudget
+class GatewayRetryBudget
 {
 public:
-    void setLimits(const RepeatLimits &limits) { limits_ = limits; }
-    void request(const ServiceName &service, TimeMs now);
+    void setLimits(const GatewayRetryLimits &limits) { limits_ = limits; }
+    void countRequest(const ServiceName &service, TimeMs now);
     /// Returns whether one more retry is within the budget.
     bool allows(const ServiceName &service, double slackShare, TimeMs now);
     /// Takes one retry from the budget. Returns false if the budget is used up.
@@ -31,11 +31,11 @@
     struct Slot {
         int64_t second = 0;
         uint32_t requests = 0;
-        uint32_t repeats = 0;
+        uint32_t retries = 0;
     };
     Slot &slotAt(const ServiceName &service, TimeMs now);
 
-    RepeatLimits limits_;
+    GatewayRetryLimits limits_;
     std::map<ServiceName, std::deque<Slot>> slots_;
 };
 
--- a/src/gateway/requests/migrations.cpp
+++ b/src/gateway/requests/migrations.cpp
@@ -7,19 +7,19 @@
 namespace {
 
 /// Time left for the migration itself and for events that are still in flight.
-constexpr DurationMs MoveMargin{500};
+constexpr DurationMs MigrationMargin{500};
 /// Copying the KV cache of one generation takes milliseconds, but the copies of a whole engine are queued.
-constexpr DurationMs MoveTimeout{1200};
+constexpr DurationMs MigrationTimeout{1200};
 /// An engine replies from memory. A later reply is useless, since reclaim notices are seconds long.
 constexpr DurationMs ProbeTimeout{500};
 /// Time for the last bytes of the stopped stream, which arrive after the reply to the migration request.
-constexpr DurationMs LastBytesTime{150};
+constexpr DurationMs LastBytesTimeout{150};
 /// Time before the end of a roll-out in which the remaining streams are migrated. Most streams end by
 /// themselves before it.
-constexpr DurationMs LastMoves{1300};
-constexpr size_t MostMoves = 4; ///< Migration attempts per request, each to another target.
+constexpr DurationMs FinalMigrationTime{1300};
+constexpr size_t MaxMigrations = 4; ///< Migration attempts per request, each to another target.
 /// Event interval assumed for a stream of which only the first event has been received.
-constexpr double UnknownEventMs = 60;
+constexpr double DefaultEventIntervalMs = 60;
 
 } // namespace
 
@@ -34,157 +34,160 @@
 
 void Gateway::onEngineProbed(const EngineProbed &event, TimeMs now)
 {
-    if (event.afterBreak)
-        onProcessKnown(event, now);
-    const EndpointLife life{event.endpoint, event.start};
-    if (!event.answered || !fleet_.answered(life, now) || !event.leaving)
+    if (event.afterConnectionFailure)
+        onProcessProbed(event, now);
+    const EndpointIncarnation incarnation{event.endpoint, event.start};
+    if (!event.answered || !fleet_.confirmIncarnation(incarnation, now) || !event.leaving)
         return;
     const DurationMs after = event.leavesAfter.value_or(settings_.drainTime);
-    log_.write(LogWeight::State, "engine_says_it_leaves",
+    log_.write(LogPriority::State, "engine_says_it_leaves",
                {{"endpoint", event.endpoint.value},
                 {"leaves_in_ms", after.count},
                 {"list_age_ms", (now - fleet_.listedAt()).count}});
-    fleet_.leaves(life, after, now);
+    fleet_.setLeaving(incarnation, after, now);
 }
 
 // Stops streams on an engine that leaves before they end, and continues them at another engine from the
 // copied KV cache. This is the same generation, so it is allowed also for streams that can't be resumed.
-void Gateway::moveRunsAway(TimeMs now)
+void Gateway::migrateFromLeavingEngines(TimeMs now)
 {
-    std::vector<CallerId> toMove;
+    std::vector<CallerId> toMigrate;
     std::vector<AttemptId> unstarted;
     std::vector<CallerId> late;
     for (const std::pair<const AttemptId, CallerId> &entry : attempts_) {
         const Exchange &exchange = exchanges_.at(entry.second);
-        if (!exchange.move && isWorthMoving(exchange, now))
-            toMove.push_back(entry.second);
+        if (!exchange.migration && shouldMigrate(exchange, now))
+            toMigrate.push_back(entry.second);
         if (isTooLateToStart(exchange, now))
             unstarted.push_back(entry.first);
-        if (exchange.move && exchange.move->handle
-            && now - exchange.move->startedAt > MoveTimeout + LastBytesTime)
+        if (exchange.migration && exchange.migration->handle
+            && now - exchange.migration->startedAt > MigrationTimeout + LastBytesTimeout)
             late.push_back(entry.second);
     }
-    for (CallerId id : toMove)
-        startMove(exchanges_.at(id), now);
+    for (CallerId id : toMigrate)
+        startMigration(exchanges_.at(id), now);
     for (AttemptId attempt : unstarted)
-        cancelBroken(attempt, now);
+        cancelAsFailed(attempt, now);
     for (CallerId id : late)
-        goOnAtTarget(exchanges_.at(id), now);
+        continueAtTarget(exchanges_.at(id), now);
 }
 
 // Returns whether a request that still waits at a leaving engine has to be sent elsewhere. It has no KV cache
 // to migrate. Only retryable requests qualify: whether another one has begun to run is not known.
 bool Gateway::isTooLateToStart(const Exchange &exchange, TimeMs now) const
 {
-    const FleetEndpoint *endpoint = fleet_.find(exchange.at);
-    return exchange.phase == ExchangePhase::Sent && !exchange.streaming && mayRepeat(exchange)
+    const FleetEndpoint *endpoint = fleet_.find(exchange.sentTo);
+    return exchange.phase == ExchangePhase::Sent && !exchange.streaming && mayRetry(exchange)
         && exchange.sends + 1 < exchange.route->attempts && exchange.route->kind == RouteKind::Streaming
-        && endpoint && endpoint->leavesAt && now + MoveMargin > *endpoint->leavesAt;
+        && endpoint && endpoint->leavesAt && now + MigrationMargin > *endpoint->leavesAt;
 }
 
 // Endpoints of other versions than the target of a roll-out stop when the roll-out is completed.
-std::optional<TimeMs> Gateway::emptyBy(const FleetEndpoint &endpoint, TimeMs now) const
+std::optional<TimeMs> Gateway::evacuationDeadline(const FleetEndpoint &endpoint, TimeMs now) const
 {
     const std::optional<int64_t> emptyBy
         = rollouts_.emptyByWallMs(endpoint.entry.service, endpoint.entry.version);
-    if (endpoint.leavesAt || !emptyBy || wallAt(now) < *emptyBy - LastMoves.count)
+    if (endpoint.leavesAt || !emptyBy || wallTimeAt(now) < *emptyBy - FinalMigrationTime.count)
         return endpoint.leavesAt;
     return TimeMs{*emptyBy - usage_.offset()};
 }
 
-bool Gateway::isWorthMoving(const Exchange &exchange, TimeMs now) const
+bool Gateway::shouldMigrate(const Exchange &exchange, TimeMs now) const
 {
-    if (!exchange.streaming || exchange.moveTargets.size() >= MostMoves || isQuarantined(exchange, now))
+    if (!exchange.streaming || exchange.migrationTargets.size() >= MaxMigrations
+        || isQuarantined(exchange, now))
         return false;
-    const FleetEndpoint *endpoint = fleet_.find(exchange.at);
-    const std::optional<TimeMs> endsAt = endpoint ? emptyBy(*endpoint, now) : std::nullopt;
+    const FleetEndpoint *endpoint = fleet_.find(exchange.sentTo);
+    const std::optional<TimeMs> endsAt = endpoint ? evacuationDeadline(*endpoint, now) : std::nullopt;
     if (!endsAt)
         return false;
     const ServedService *service = exchange.configuration->findService(exchange.service);
-    if (!service || !service->engine || !service->engine->movesRuns)
+    if (!service || !service->engine || !service->engine->migratesGenerations)
         return false;
     const uint64_t perEvent = std::max(service->engine->tokensPerEvent, 1U);
     const uint64_t expected = (exchange.request->outputTokens + perEvent - 1) / perEvent;
     const double left = static_cast<double>(expected - std::min(expected, exchange.events));
-    const double eventMs = exchange.eventsHere < 2 ? UnknownEventMs
-                                                   : static_cast<double>((now - exchange.firstEventAt).count)
-            / static_cast<double>(exchange.eventsHere - 1);
+    const double eventMs = exchange.attemptEvents < 2
+        ? DefaultEventIntervalMs
+        : static_cast<double>((now - exchange.firstEventAt).count)
+            / static_cast<double>(exchange.attemptEvents - 1);
     const DurationMs rest{static_cast<int64_t>(left * eventMs)};
-    return now + rest + MoveMargin > *endsAt;
+    return now + rest + MigrationMargin > *endsAt;
 }
 
-void Gateway::startMove(Exchange &exchange, TimeMs now)
+void Gateway::startMigration(Exchange &exchange, TimeMs now)
 {
-    PlacementQuestion question = questionOf(exchange);
-    question.tried = exchange.moveTargets;
-    question.tried.insert(exchange.at.id);
+    PlacementQuery question = placementQuery(exchange);
+    question.tried = exchange.migrationTargets;
+    question.tried.insert(exchange.sentTo.id);
     const PlacementResult result = place(exchange, question, now);
-    const FleetEndpoint *source = fleet_.find(exchange.at);
+    const FleetEndpoint *source = fleet_.find(exchange.sentTo);
     const FleetEndpoint *target = result.choice ? fleet_.find(result.choice->endpoint) : nullptr;
     if (!source || !target)
         return;
-    if (!repeats_.take(exchange.service, slackShare(now), now)) {
+    if (!retryBudget_.take(exchange.service, slackShare(now), now)) {
         // Tried again with each tick, but logged only once.
-        if (!std::exchange(exchange.moveDenied, true)) {
+        if (!std::exchange(exchange.migrationDenied, true)) {
             counters_.add(GatewayCount::RetriesDenied);
-            log(LogWeight::Failure, "repeat_denied", exchange, {{"reason", toText(GatewayRetry::Moved)}});
+            log(LogPriority::Failure, "repeat_denied", exchange, {{"reason", toText(GatewayRetry::Moved)}});
         }
         return;
     }
-    RunMove move;
-    move.target = target->life();
-    exchange.moveTargets.insert(move.target.id);
-    move.source = source->entry.address;
-    move.startedAt = now;
-    exchange.move = move;
-    fleet_.reserve(move.target, now);
-    log(LogWeight::Failure, "move", exchange,
+    GenerationMigration migration;
+    migration.target = target->incarnation();
+    exchange.migrationTargets.insert(migration.target.id);
+    migration.source = source->entry.address;
+    migration.startedAt = now;
+    exchange.migration = migration;
+    fleet_.reserve(migration.target, now);
+    log(LogPriority::Failure, "move", exchange,
         {{"attempt", exchange.attempt.value},
-         {"target", move.target.id.value},
+         {"target", migration.target.id.value},
          {"events", exchange.events},
-         {"leaves_in_ms", (emptyBy(*source, now).value_or(now) - now).count}});
-    actions_.emplace_back(
-        MoveRun{exchange.attempt, move.source, target->entry.address, exchange.request->id, MoveTimeout});
+         {"leaves_in_ms", (evacuationDeadline(*source, now).value_or(now) - now).count}});
+    actions_.emplace_back(MigrateGeneration{exchange.attempt, migration.source, target->entry.address,
+                                            exchange.request->id, MigrationTimeout});
 }
 
-void Gateway::onRunMoved(const RunMoved &event, TimeMs now)
+void Gateway::onGenerationMigrated(const GenerationMigrated &event, TimeMs now)
 {
-    Exchange *exchange = byAttempt(event.attempt);
-    if (!exchange || !exchange->move)
+    Exchange *exchange = findByAttempt(event.attempt);
+    if (!exchange || !exchange->migration)
         return;
-    RunMove &move = *exchange->move;
-    if (event.outcome != MoveOutcome::Moved) {
-        log(LogWeight::Failure, "move_failed", *exchange,
-            {{"outcome", static_cast<int>(event.outcome)}, {"source_closed", move.sourceClosed}});
-        return moveFailed(*exchange, now);
+    GenerationMigration &migration = *exchange->migration;
+    if (event.outcome != MigrationOutcome::Migrated) {
+        log(LogPriority::Failure, "move_failed", *exchange,
+            {{"outcome", static_cast<int>(event.outcome)}, {"source_closed", migration.sourceClosed}});
+        return onMigrationFailed(*exchange, now);
     }
-    move.handle = event.handle;
-    if (move.sourceClosed)
-        goOnAtTarget(*exchange, now);
+    migration.handle = event.handle;
+    if (migration.sourceClosed)
+        continueAtTarget(*exchange, now);
 }
 
 // If the generation stopped but its KV cache did not arrive at the target, its stream has ended and is
 // resumed where possible. If the generation still runs, the stream just continues.
-void Gateway::moveFailed(Exchange &exchange, TimeMs now)
+void Gateway::onMigrationFailed(Exchange &exchange, TimeMs now)
 {
-    const bool closed = exchange.move->sourceClosed;
-    exchange.move.reset();
+    const bool closed = exchange.migration->sourceClosed;
+    exchange.migration.reset();
     if (closed)
-        onBroken({exchange.attempt, true}, now);
+        onConnectionFailed({exchange.attempt, true}, now);
 }
 
-void Gateway::goOnAtTarget(Exchange &exchange, TimeMs now)
+void Gateway::continueAtTarget(Exchange &exchange, TimeMs now)
 {
-    const RunMove move = *exchange.move;
+    const GenerationMigration migration = *exchange.migration;
     cancelAttempt(exchange);
     // A target that has restarted no longer holds the KV cache.
-    if (!fleet_.find(move.target) || isQuarantined(exchange, now))
-        return streamBroke(exchange, now);
+    if (!fleet_.find(migration.target) || isQuarantined(exchange, now))
+        return abortStream(exchange, now);
     counters_.add(GatewayRetry::Moved);
     PlacementChoice choice;
-    choice.endpoint = move.target.id;
+    choice.endpoint = migration.target.id;
     choice.isReserved = true;
-    send(exchange, questionOf(exchange), choice, now, RunMemory{move.source, *move.handle});
+    send(exchange, placementQuery(exchange), choice, now,
+         MigratedKvCache{migration.source, *migration.handle});
 }
 
 } // namespace cranberry
--- a/src/gateway/requests/waiting.cpp
+++ b/src/gateway/requests/waiting.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Jitter of the Retry-After time, so that refused callers don't all return at once.
-constexpr uint64_t RetryAfterSpreadMs = 400;
+constexpr uint64_t RetryAfterJitterMs = 400;
 /// A request whose latency target isn't the shortest of its service is not sent to an engine whose queued
 /// prefill takes longer than this part (1/3) of the shortest target, which leaves capacity for requests with
 /// the shortest target. In a load test with 1.5 times the prefill load that the engines can process, 1/4 kept
@@ -19,14 +19,14 @@
 /// Maximum queued prefill of an engine that gets a request past its latency target. In the same test 150 ms
 /// kept 193 long requests within their target, 100 ms kept 231; with 30 ms, requests that are too large to
 /// meet their target at all would wait for an idle engine.
-constexpr double MostWaitOfLateMs = 100;
+constexpr double MaxWaitOfLateMs = 100;
 /// A request past its latency target is refused when it has waited this part (1/8) of its caller's time
 /// beyond the target. The caller has enough time left to retry, instead of waiting for a response that may
 /// not come.
 constexpr int64_t LateWaitDivisor = 8;
 /// Failed placements per service and pass of the queue. More than one is tried, since the first requests may
 /// wait for the engine that caches their shared prompt part while other engines have capacity.
-constexpr size_t MostTriesInVain = 16;
+constexpr size_t MaxFailedPlacements = 16;
 
 } // namespace
 
@@ -37,9 +37,9 @@
     const ServedService *service = exchange.configuration->findService(exchange.service);
     exchange.inTimeUntil = exchange.callerWaitsUntil;
     if (service && service->engine) {
-        const DurationMs reading = readingPace(exchange.service, now).readingTime(*exchange.request);
+        const DurationMs prefill = prefillRate(exchange.service, now).prefillTime(*exchange.request);
         exchange.inTimeUntil
-            = exchange.arrivedAt + std::max(exchange.route->latencyTarget - reading, DurationMs{0});
+            = exchange.arrivedAt + std::max(exchange.route->latencyTarget - prefill, DurationMs{0});
     }
     const std::optional<PlacementProblem> problem = trySend(exchange, now);
     if (!problem)
@@ -50,11 +50,11 @@
     const LimitedQueue limited = limitedQueue(exchange.service, now);
     if (refuseBeyondLimit(exchange, limited.waitAt(limited.own + 1), now))
         return;
-    if (isHopeless(exchange, now))
+    if (cannotMeetDeadline(exchange, now))
         return giveUp(exchange, GatewayRefusal::Overloaded, now);
     counters_.add(GatewayCount::Queued);
     queue_.add({exchange.caller, exchange.priority, exchange.arrivedAt, exchange.inTimeUntil});
-    log(LogWeight::Ordinary, "queued", exchange,
+    log(LogPriority::Ordinary, "queued", exchange,
         {{"queue", queue_.size()}, {"in_time_for_ms", (exchange.inTimeUntil - now).count}});
 }
 
@@ -64,18 +64,18 @@
 // engines' time for late requests.
 std::optional<PlacementProblem> Gateway::trySend(Exchange &exchange, TimeMs now)
 {
-    PlacementQuestion question = questionOf(exchange);
+    PlacementQuery question = placementQuery(exchange);
     const bool isLate = question.engine && now > exchange.inTimeUntil;
-    if (isLate && now < lateAt_[exchange.service])
+    if (isLate && now < nextLateSendAt_[exchange.service])
         return PlacementProblem::AllBusy;
     if (question.engine)
-        question.mostWaitMs = isLate ? MostWaitOfLateMs : mostWaitMs(exchange, now);
+        question.maxWaitMs = isLate ? MaxWaitOfLateMs : maxWaitMs(exchange, now);
     const PlacementResult result = place(exchange, question, now);
     if (!result.choice)
         return result.problem;
     if (isLate) {
-        const ReadingPace pace = readingPace(exchange.service, now);
-        lateAt_[exchange.service] = now + pace.drainTime(pace.readingTime(*exchange.request));
+        const PrefillRate rate = prefillRate(exchange.service, now);
+        nextLateSendAt_[exchange.service] = now + rate.drainTime(rate.prefillTime(*exchange.request));
     }
     send(exchange, question, *result.choice, now);
     return std::nullopt;
@@ -83,18 +83,18 @@
 
 // Selects an endpoint. If a rate-limited endpoint would have been the best choice, this daemon requests a
 // share of its limit, for this request if it waits, or else for the next similar one.
-PlacementResult Gateway::place(Exchange &exchange, PlacementQuestion &question, TimeMs now)
+PlacementResult Gateway::place(Exchange &exchange, PlacementQuery &question, TimeMs now)
 {
-    PlacementResult result = placeByVersion(exchange, question, now);
-    if (result.heldBack) {
-        if (EndpointLimiter *limiter = fleet_.limiter(*result.heldBack))
-            limiter->wish(now);
+    PlacementResult result = selectByVersion(exchange, question, now);
+    if (result.limitedEndpoint) {
+        if (EndpointLimiter *limiter = fleet_.limiter(*result.limitedEndpoint))
+            limiter->recordUnmetDemand(now);
     }
     return result;
 }
 
 // Returns the maximum queued prefill, in ms, of an engine that may get this request.
-double Gateway::mostWaitMs(const Exchange &exchange, TimeMs now) const
+double Gateway::maxWaitMs(const Exchange &exchange, TimeMs now) const
 {
     const DurationMs shortest = exchange.configuration->shortestTarget(exchange.service);
     const DurationMs slack = exchange.inTimeUntil - now;
@@ -103,25 +103,25 @@
     return static_cast<double>((isTightest ? std::max(slack, usual) : usual).count);
 }
 
-DurationMs Gateway::ReadingPace::readingTime(const CallerRequest &request) const
+DurationMs Gateway::PrefillRate::prefillTime(const CallerRequest &request) const
 {
     const uint64_t tokens = request.promptTokens - std::min(request.promptTokens, sharedTokens(request));
     return {static_cast<int64_t>(speed.baseMs + static_cast<double>(tokens) / speed.tokensPerMs)};
 }
 
-Gateway::ReadingPace Gateway::readingPace(const ServiceName &service, TimeMs now) const
+Gateway::PrefillRate Gateway::prefillRate(const ServiceName &service, TimeMs now) const
 {
-    return {readingSpeed(demand_.readings(service)), std::max<int64_t>(1, fleet_.count(service)),
-            static_cast<int64_t>(peers_.sharers(now))};
+    return {prefillSpeed(demand_.prefillSums(service)), std::max<int64_t>(1, fleet_.unlimitedCount(service)),
+            static_cast<int64_t>(peers_.servingCount(now))};
 }
 
 // Returns the expected time until a slot is free for one more request of this priority: the number of
 // requests ahead of it and itself, times the interval at which the service's slots become free.
 DurationMs Gateway::expectedWait(const Exchange &exchange, TimeMs now) const
 {
-    const auto mean = answerMs_.find(exchange.service);
-    const uint32_t places = fleet_.places(exchange.service);
-    if (mean == answerMs_.end() || places == 0)
+    const auto mean = responseMs_.find(exchange.service);
+    const uint32_t slots = fleet_.totalSlots(exchange.service);
+    if (mean == responseMs_.end() || slots == 0)
         return {0};
     size_t ahead = 1;
     for (CallerId id : queue_.inOrder(now)) {
@@ -129,8 +129,8 @@
         ahead += other.service == exchange.service && other.priority <= exchange.priority ? 1 : 0;
     }
     // The other daemons' callers wait for the same slots.
-    const double shared = static_cast<double>(ahead * peers_.sharers(now));
-    return {static_cast<int64_t>(mean->second * shared / places)};
+    const double shared = static_cast<double>(ahead * peers_.servingCount(now));
+    return {static_cast<int64_t>(mean->second * shared / slots)};
 }
 
 Gateway::LimitedQueue Gateway::limitedQueue(const ServiceName &service, TimeMs now) const
@@ -163,7 +163,7 @@
     return true;
 }
 
-bool Gateway::isHopeless(const Exchange &exchange, TimeMs now) const
+bool Gateway::cannotMeetDeadline(const Exchange &exchange, TimeMs now) const
 {
     return now + expectedWait(exchange, now) > std::min(exchange.callerWaitsUntil, exchange.timeoutAt);
 }
@@ -176,9 +176,9 @@
 {
     if (queue_.empty())
         return;
-    std::map<ServiceName, size_t> inVain;
+    std::map<ServiceName, size_t> failedPlacements;
     std::map<ServiceName, DurationMs> lateAhead;
-    std::map<ServiceName, ReadingPace> paces; // Only of services with late requests in the queue.
+    std::map<ServiceName, PrefillRate> prefillRates; // Only of services with late requests in the queue.
     std::map<ServiceName, LimitedQueue> limited;
     for (CallerId id : queue_.inOrder(now)) {
         const auto found = exchanges_.find(id);
@@ -191,25 +191,25 @@
         if (refuseBeyondLimit(exchange, queue->second.waitAt(++queue->second.position), now))
             continue;
         if (now > exchange.inTimeUntil) {
-            const auto known = paces.find(exchange.service);
-            const ReadingPace &pace = known != paces.end()
+            const auto known = prefillRates.find(exchange.service);
+            const PrefillRate &rate = known != prefillRates.end()
                 ? known->second
-                : paces.emplace(exchange.service, readingPace(exchange.service, now)).first->second;
+                : prefillRates.emplace(exchange.service, prefillRate(exchange.service, now)).first->second;
             DurationMs &ahead = lateAhead[exchange.service];
             const DurationMs before = ahead;
-            ahead = before + pace.readingTime(*exchange.request);
-            const DurationMs drained = pace.drainTime(ahead);
+            ahead = before + rate.prefillTime(*exchange.request);
+            const DurationMs drained = rate.drainTime(ahead);
             const TimeMs end = std::min(exchange.callerWaitsUntil, exchange.timeoutAt);
-            const DurationMs patience = (end - exchange.arrivedAt) / LateWaitDivisor;
-            if (now > exchange.inTimeUntil + patience || now + drained > end) {
+            const DurationMs maxLateWait = (end - exchange.arrivedAt) / LateWaitDivisor;
+            if (now > exchange.inTimeUntil + maxLateWait || now + drained > end) {
                 ahead = before; // A refused request does not delay those behind it.
                 giveUp(exchange, GatewayRefusal::Overloaded, now, drained);
                 continue;
             }
         }
-        if (inVain[exchange.service] >= MostTriesInVain)
+        if (failedPlacements[exchange.service] >= MaxFailedPlacements)
             continue;
-        if (const std::optional<OwnAnswer> refusal = judge(exchange, now)) {
+        if (const std::optional<OwnAnswer> refusal = checkRequest(exchange, now)) {
             answer(exchange, *refusal, now);
             continue;
         }
@@ -219,13 +219,13 @@
         else if (*problem == PlacementProblem::NoEndpoint)
             giveUp(exchange, GatewayRefusal::NoEndpoint, now);
         else
-            ++inVain[exchange.service];
+            ++failedPlacements[exchange.service];
     }
 }
 
-DurationMs Gateway::retryAfter(DurationMs least)
+DurationMs Gateway::retryAfter(DurationMs min)
 {
-    return least + DurationMs{static_cast<int64_t>(random_.below(RetryAfterSpreadMs))};
+    return min + DurationMs{static_cast<int64_t>(random_.below(RetryAfterJitterMs))};
 }
 
 } // namespace cranberry
--- a/src/gateway/rollout/rollout.cpp
+++ b/src/gateway/rollout/rollout.cpp
@@ -32,14 +32,14 @@
     return StageNames[static_cast<size_t>(stage)];
 }
 
-bool isOf(const RolloutRecord &record, const RolloutOrder &order, uint64_t era)
+bool belongsTo(const RolloutRecord &record, const RolloutOrder &order, uint64_t era)
 {
     if (record.target != order.target)
         return false;
     return record.era < era || record.order == order.revision;
 }
 
-RolloutRecord furtherRecord(const RolloutRecord &a, const RolloutRecord &b)
+RolloutRecord mergeRecords(const RolloutRecord &a, const RolloutRecord &b)
 {
     const bool sameOrder = isSameOrder(a, b);
     const bool takeA
@@ -100,11 +100,11 @@
     const auto stage = std::find(StageNames.begin(), StageNames.end(), textAt("stage"));
     const json::value *share = object->if_contains("share");
     const json::value *barred = object->if_contains("barred");
-    const bool isWhole = !record.target.value.empty() && record.duration.count > 0 && numberAt("order") >= 0
-        && numberAt("era") >= 0 && record.beganWallMs >= 0 && record.stageWallMs >= 0
-        && stage != StageNames.end() && loadRequests && share && share->is_number() && barred
-        && barred->is_array();
-    if (!isWhole)
+    const bool isComplete = !record.target.value.empty() && record.duration.count > 0
+        && numberAt("order") >= 0 && numberAt("era") >= 0 && record.beganWallMs >= 0
+        && record.stageWallMs >= 0 && stage != StageNames.end() && loadRequests && share && share->is_number()
+        && barred && barred->is_array();
+    if (!isComplete)
         return std::nullopt;
     record.stage = static_cast<RolloutStage>(stage - StageNames.begin());
     record.share = share->to_number<double>();
--- a/src/gateway/rollout/rollout.h
+++ b/src/gateway/rollout/rollout.h
@@ -65,11 +65,11 @@
 /// Returns whether the record belongs to this order, which is stored in era `era`. Operators write their
 /// orders again after the store was restored from an older copy: the order then has another revision but is
 /// the same one.
-bool isOf(const RolloutRecord &record, const RolloutOrder &order, uint64_t era);
+bool belongsTo(const RolloutRecord &record, const RolloutOrder &order, uint64_t era);
 
 /// Merges two records of one service and returns the one at the later stage. A roll-out never goes back to an
 /// earlier stage, even if the store was restored from an older copy.
-RolloutRecord furtherRecord(const RolloutRecord &a, const RolloutRecord &b);
+RolloutRecord mergeRecords(const RolloutRecord &a, const RolloutRecord &b);
 
 /// Encode a record as the value of its key in the store, and decode it. Decoding returns nothing for invalid
 /// text.
--- a/src/gateway/rollout/rolloutcontroller.cpp
+++ b/src/gateway/rollout/rolloutcontroller.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Min duration of a trial, whatever duration the order states.
-constexpr DurationMs LeastTrial{4000};
+constexpr DurationMs MinTrialTime{4000};
 /// Time for all daemons to learn of the stage, to send the requests that fill an endpoint, and to observe
 /// their outcome.
 constexpr DurationMs LoadingTime{3000};
@@ -18,31 +18,32 @@
 /// roll-out.
 constexpr DurationMs EmptyingTime{4300};
 /// All daemons have learned of a stage within this time.
-constexpr DurationMs StageKnown{1500};
+constexpr DurationMs StagePropagationTime{1500};
 /// Requests that just left a daemon's queue are included in its reports after this time.
-constexpr DurationMs StaysEmpty{600};
+constexpr DurationMs EmptyConfirmTime{600};
 /// Min ratio of target endpoints to other endpoints; with fewer, the target cannot carry their load.
-constexpr double MostFewer = 0.7;
+constexpr double MinEndpointRatio = 0.7;
 /// A trial without enough answers after this multiple of the ordered duration is rolled back.
-constexpr int64_t MostTimes = 2;
+constexpr int64_t MaxDurationFactor = 2;
 constexpr DurationMs CallTimeout{1500};
 constexpr DurationMs RetryPause{300};
 
 /// Shares of the operator bounds that a trial may use. The rest is reserved for a version that turns bad
 /// while requests move to it.
-constexpr double TrialPartOfShare = 0.5;
-constexpr double TrialPartOfSlack = 0.4;
-constexpr double LoadPartOfBounds = 0.3;
+constexpr double TrialShareFactor = 0.5;
+constexpr double TrialSlackFactor = 0.4;
+constexpr double LoadBoundsFactor = 0.3;
 /// Requests to send per slot to fill a batch for a while, since some end before the others begin.
-constexpr double RequestsEachPlace = 1.6;
-constexpr double MostTrialShare = 0.3;
+constexpr double LoadRequestsPerSlot = 1.6;
+constexpr double MaxTrialShare = 0.3;
 /// Share of the bound to use while the request rate of the service is unknown.
-constexpr double UnknownPartOfShare = 0.6;
+constexpr double UnknownRateShareFactor = 0.6;
 
 } // namespace
 
-void RolloutDuty::tick(const Leadership &leadership, const StoreSync::Rollouts &rollouts,
-                       const std::map<ServiceName, RolloutFacts> &facts, int64_t wallMs, TimeMs now)
+void RolloutController::tick(const Leadership &leadership, const StoreSync::Rollouts &rollouts,
+                             const std::map<ServiceName, RolloutObservations> &facts, int64_t wallMs,
+                             TimeMs now)
 {
     if (!leadership.held) {
         services_.clear();
@@ -52,26 +53,27 @@
     std::map<ServiceName, const RolloutOrder *> orders;
     for (const RolloutOrder &order : rollouts.known.orders)
         orders[order.service] = &order;
-    for (const std::pair<const ServiceName, RolloutFacts> &each : facts) {
-        Service &service = services_[each.first];
+    for (const std::pair<const ServiceName, RolloutObservations> &each : facts) {
+        RolloutProgress &service = services_[each.first];
         if (now < service.nextAt)
             continue;
         const auto order = orders.find(each.first);
         const auto known = rollouts.known.records.find(each.first);
         const RolloutRecord *record = known == rollouts.known.records.end() ? nullptr : &known->second;
         const bool isNew
-            = order != orders.end() && (!record || !isOf(*record, *order->second, rollouts.known.era));
+            = order != orders.end() && (!record || !belongsTo(*record, *order->second, rollouts.known.era));
         if (isNew && !each.second.isKnownService) {
             refuse(*order->second, service);
             continue;
         }
         // A store restored from an older copy may hold an order that was superseded since.
-        if (isNew && rollouts.mayBeOlder)
+        if (isNew && rollouts.mayBeStale)
             continue;
         if (!isNew && !record)
             continue;
-        RolloutRecord wanted = isNew ? begin(*order->second, record, each.second, rollouts.known.era, wallMs)
-                                     : next(*record, each.second, service, wallMs, now);
+        RolloutRecord wanted = isNew
+            ? createRecord(*order->second, record, each.second, rollouts.known.era, wallMs)
+            : nextRecord(*record, each.second, service, wallMs, now);
         if (!isNew && order != orders.end()) {
             wanted.order = order->second->revision;
             wanted.era = rollouts.known.era;
@@ -83,18 +85,19 @@
     }
 }
 
-void RolloutDuty::refuse(const RolloutOrder &order, Service &service)
+void RolloutController::refuse(const RolloutOrder &order, RolloutProgress &service)
 {
-    if (std::exchange(service.toldOrder, order.revision) != order.revision)
-        log_.write(LogWeight::Failure, "rollout_refused",
+    if (std::exchange(service.refusedOrder, order.revision) != order.revision)
+        log_.write(LogPriority::Failure, "rollout_refused",
                    {{"field", "service"},
                     {"service", order.service.value},
                     {"target", order.target.value},
                     {"why", "the configuration has no such service"}});
 }
 
-RolloutRecord RolloutDuty::begin(const RolloutOrder &order, const RolloutRecord *before,
-                                 const RolloutFacts &facts, uint64_t era, int64_t wallMs) const
+RolloutRecord RolloutController::createRecord(const RolloutOrder &order, const RolloutRecord *before,
+                                              const RolloutObservations &facts, uint64_t era,
+                                              int64_t wallMs) const
 {
     RolloutRecord out;
     out.service = order.service;
@@ -115,35 +118,36 @@
     return out;
 }
 
-double RolloutDuty::trialShare(const RolloutOrder &order, const RolloutFacts &facts) const
+double RolloutController::trialShare(const RolloutOrder &order, const RolloutObservations &facts) const
 {
     const double requests = facts.requestsPerSecond * static_cast<double>(order.duration.count) / 1000;
     if (requests < 1)
-        return UnknownPartOfShare * bounds_.exposeShare;
-    return std::min(TrialPartOfShare * bounds_.exposeShare
-                        + TrialPartOfSlack * bounds_.exposeSlack / requests,
-                    MostTrialShare);
+        return UnknownRateShareFactor * bounds_.exposeShare;
+    return std::min(TrialShareFactor * bounds_.exposeShare
+                        + TrialSlackFactor * bounds_.exposeSlack / requests,
+                    MaxTrialShare);
 }
 
-uint32_t RolloutDuty::loadRequests(const RolloutOrder &order, const RolloutFacts &facts) const
+uint32_t RolloutController::loadRequests(const RolloutOrder &order, const RolloutObservations &facts) const
 {
     const double requests = facts.requestsPerSecond * static_cast<double>(order.duration.count) / 1000;
     const double bound = bounds_.exposeShare * requests + bounds_.exposeSlack;
     return static_cast<uint32_t>(
-        std::min(RequestsEachPlace * facts.placesOfTarget, LoadPartOfBounds * bound));
+        std::min(LoadRequestsPerSlot * facts.slotsPerTarget, LoadBoundsFactor * bound));
 }
 
-DurationMs RolloutDuty::timeToMove(const RolloutRecord &record)
+DurationMs RolloutController::timeToMove(const RolloutRecord &record)
 {
     return MovingTime + EmptyingTime + (record.loadRequests > 0 ? LoadingTime : DurationMs{0});
 }
 
-bool RolloutDuty::mayMove(const RolloutRecord &record, const RolloutFacts &facts, int64_t wallMs) const
+bool RolloutController::mayMove(const RolloutRecord &record, const RolloutObservations &facts,
+                                int64_t wallMs) const
 {
     const int64_t movesAt = record.beganWallMs + (record.duration - timeToMove(record)).count;
-    if (wallMs < std::max(movesAt, record.stageWallMs + LeastTrial.count))
+    if (wallMs < std::max(movesAt, record.stageWallMs + MinTrialTime.count))
         return false;
-    if (facts.targetEndpoints < MostFewer * facts.otherEndpoints)
+    if (facts.targetEndpoints < MinEndpointRatio * facts.otherEndpoints)
         return false;
     // With so few requests a bad version stays within the bounds even if it gets all of them.
     const double others = static_cast<double>(facts.figures.othersAnswers + facts.figures.answers);
@@ -151,8 +155,8 @@
         || (others < bounds_.exposeSlack && wallMs > record.beganWallMs + record.duration.count);
 }
 
-RolloutRecord RolloutDuty::next(const RolloutRecord &record, const RolloutFacts &facts, Service &service,
-                                int64_t wallMs, TimeMs now) const
+RolloutRecord RolloutController::nextRecord(const RolloutRecord &record, const RolloutObservations &facts,
+                                            RolloutProgress &service, int64_t wallMs, TimeMs now) const
 {
     if (isDecided(record.stage))
         return record;
@@ -170,7 +174,7 @@
     const int64_t inStage = wallMs - record.stageWallMs;
     const int64_t endsAt = record.beganWallMs + record.duration.count;
     if (facts.isBad) {
-        const VersionJudge::Figures &seen = facts.figures;
+        const VersionEvaluator::Figures &seen = facts.figures;
         return to(RolloutStage::RolledBack,
                   fmt::format("{} of {} answers bad on {}, {} of {} elsewhere", seen.bad, seen.answers,
                               seen.route.empty() ? "all routes" : seen.route, seen.othersBad,
@@ -192,7 +196,7 @@
             return to(RolloutStage::Loading, "as good as the others so far");
         if (mayMove(record, facts, wallMs))
             return to(RolloutStage::Moving, "as good as the others");
-        if (wallMs > record.beganWallMs + record.duration.count * MostTimes)
+        if (wallMs > record.beganWallMs + record.duration.count * MaxDurationFactor)
             return to(RolloutStage::RolledBack, "too few answers or endpoints, or not as good");
         return record;
     case RolloutStage::Loading:
@@ -201,15 +205,16 @@
         return inStage > MovingTime.count ? to(RolloutStage::Emptying, "all new requests go to the target")
                                           : record;
     default: {
-        const bool isEmpty = service.emptySince.count != 0 && now - service.emptySince > StaysEmpty
-            && inStage > (StageKnown + StaysEmpty).count && facts.targetEndpoints > 0;
+        const bool isEmpty = service.emptySince.count != 0 && now - service.emptySince > EmptyConfirmTime
+            && inStage > (StagePropagationTime + EmptyConfirmTime).count && facts.targetEndpoints > 0;
         return isEmpty ? to(RolloutStage::Completed, "the others have ended what they had") : record;
     }
     }
 }
 
-void RolloutDuty::write(const RolloutRecord &record, const RolloutFacts &facts, uint64_t storedRevision,
-                        const Leadership &leadership, Service &service, TimeMs now)
+void RolloutController::write(const RolloutRecord &record, const RolloutObservations &facts,
+                              uint64_t storedRevision, const Leadership &leadership, RolloutProgress &service,
+                              TimeMs now)
 {
     service.nextAt = now + CallTimeout + RetryPause;
     boost::json::object fields{{"service", record.service.value},
@@ -221,12 +226,12 @@
                                {"other_endpoints", facts.otherEndpoints},
                                {"running_elsewhere", facts.runningElsewhere}};
     addFigures(facts.figures, fields);
-    log_.write(LogWeight::State, "rollout_stage", std::move(fields));
+    log_.write(LogPriority::State, "rollout_stage", std::move(fields));
     StoreCall call;
     call.id = nextCall_++;
     call.verb = StoreVerb::Write;
     const std::string key = RolloutKeyPrefix + record.service.value;
-    call.conditions = {{StoreSpace::Shared, key, storedRevision}, leadership.stands};
+    call.conditions = {{StoreSpace::Shared, key, storedRevision}, leadership.leaderCondition};
     call.puts.push_back({StoreSpace::Shared, key, recordText(record), 0});
     call.rolloutStatus = RolloutStatus{record.service, record.target, record.stage};
     call.timeout = CallTimeout;
@@ -235,7 +240,7 @@
 }
 
 // After a conflict the next read of the store returns the stored record.
-void RolloutDuty::onStoreReply(const StoreReply &reply, TimeMs now)
+void RolloutController::onStoreReply(const StoreReply &reply, TimeMs now)
 {
     const auto found = calls_.find(reply.id);
     if (found == calls_.end())
--- a/src/gateway/rollout/rolloutcontroller.h
+++ b/src/gateway/rollout/rolloutcontroller.h
@@ -17,10 +17,10 @@
 };
 
 /// Observations of the leader about one roll-out.
-struct RolloutFacts {
+struct RolloutObservations {
     uint32_t targetEndpoints = 0; ///< Target endpoints that take requests.
     uint32_t otherEndpoints = 0;
-    uint32_t placesOfTarget
+    uint32_t slotsPerTarget
         = 0; ///< Planned concurrent requests of one target endpoint; 0: not a model engine.
     uint32_t runningElsewhere = 0; ///< Requests of all daemons that run on endpoints of other versions.
     std::set<SoftwareVersion> otherVersions; ///< Other versions that are listed.
@@ -28,7 +28,7 @@
     bool isKnownService = true;
     bool isBad = false;
     bool isProven = false;
-    VersionJudge::Figures figures;
+    VersionEvaluator::Figures figures;
 };
 
 /// Advances operators' roll-out orders through their stages while this daemon is the leader.
@@ -37,15 +37,15 @@
 /// from it. A version may turn bad late, so the trial lasts as long as the ordered duration allows; the
 /// remainder is reserved for the moving and emptying stages. No request is cut off to meet the deadline: a
 /// roll-out that is late is completed late.
-class RolloutDuty
+class RolloutController
 {
 public:
-    explicit RolloutDuty(DecisionLog &log) : log_(log) { }
+    explicit RolloutController(DecisionLog &log) : log_(log) { }
     void setBounds(const RolloutBounds &bounds) { bounds_ = bounds; }
 
     /// `facts` has the observations for each service with an order or an undecided record.
     void tick(const Leadership &leadership, const StoreSync::Rollouts &rollouts,
-              const std::map<ServiceName, RolloutFacts> &facts, int64_t wallMs, TimeMs now);
+              const std::map<ServiceName, RolloutObservations> &facts, int64_t wallMs, TimeMs now);
     void onStoreReply(const StoreReply &reply, TimeMs now);
 
     std::vector<StoreCall> takeStoreCalls() { return std::exchange(storeCalls_, {}); }
@@ -57,26 +57,26 @@
     std::vector<Written> takeWritten() { return std::exchange(written_, {}); }
 
 private:
-    struct Service {
+    struct RolloutProgress {
         TimeMs nextAt;
         TimeMs emptySince; ///< Since when no request runs on other versions; zero: some do.
-        uint64_t toldOrder = 0; ///< Revision of the last order that was logged as refused.
+        uint64_t refusedOrder = 0; ///< Revision of the last order that was logged as refused.
     };
-    RolloutRecord begin(const RolloutOrder &order, const RolloutRecord *before, const RolloutFacts &facts,
-                        uint64_t era, int64_t wallMs) const;
-    RolloutRecord next(const RolloutRecord &record, const RolloutFacts &facts, Service &service,
-                       int64_t wallMs, TimeMs now) const;
-    double trialShare(const RolloutOrder &order, const RolloutFacts &facts) const;
-    uint32_t loadRequests(const RolloutOrder &order, const RolloutFacts &facts) const;
+    RolloutRecord createRecord(const RolloutOrder &order, const RolloutRecord *before,
+                               const RolloutObservations &facts, uint64_t era, int64_t wallMs) const;
+    RolloutRecord nextRecord(const RolloutRecord &record, const RolloutObservations &facts,
+                             RolloutProgress &service, int64_t wallMs, TimeMs now) const;
+    double trialShare(const RolloutOrder &order, const RolloutObservations &facts) const;
+    uint32_t loadRequests(const RolloutOrder &order, const RolloutObservations &facts) const;
     static DurationMs timeToMove(const RolloutRecord &record);
-    bool mayMove(const RolloutRecord &record, const RolloutFacts &facts, int64_t wallMs) const;
-    void refuse(const RolloutOrder &order, Service &service);
-    void write(const RolloutRecord &record, const RolloutFacts &facts, uint64_t storedRevision,
-               const Leadership &leadership, Service &service, TimeMs now);
+    bool mayMove(const RolloutRecord &record, const RolloutObservations &facts, int64_t wallMs) const;
+    void refuse(const RolloutOrder &order, RolloutProgress &service);
+    void write(const RolloutRecord &record, const RolloutObservations &facts, uint64_t storedRevision,
+               const Leadership &leadership, RolloutProgress &service, TimeMs now);
 
     DecisionLog &log_;
     RolloutBounds bounds_;
-    std::map<ServiceName, Service> services_;
+    std::map<ServiceName, RolloutProgress> services_;
     std::map<uint64_t, RolloutRecord> calls_; ///< Records of the store calls in progress, by call id.
     std::vector<StoreCall> storeCalls_;
     std::vector<Written> written_;
--- a/src/gateway/rollout/rolloutview.cpp
+++ b/src/gateway/rollout/rolloutview.cpp
@@ -11,7 +11,7 @@
     return trialShare + part * (1 - trialShare);
 }
 
-void RolloutView::take(const RolloutsKnown &known, TimeMs knownAt)
+void RolloutView::update(const RolloutsKnown &known, TimeMs knownAt)
 {
     knownAt_ = std::max(knownAt_, knownAt);
     if (known == known_)
@@ -23,12 +23,12 @@
     });
 }
 
-void RolloutView::noteListed(const ServiceName &service, const SoftwareVersion &version, TimeMs listedAt)
+void RolloutView::recordListed(const ServiceName &service, const SoftwareVersion &version, TimeMs listedAt)
 {
     listed_[service].try_emplace(version, listedAt);
 }
 
-void RolloutView::forgetOthers(const std::map<ServiceName, std::set<SoftwareVersion>> &listed)
+void RolloutView::removeUnlisted(const std::map<ServiceName, std::set<SoftwareVersion>> &listed)
 {
     for (std::pair<const ServiceName, std::map<SoftwareVersion, TimeMs>> &service : listed_) {
         const auto present = listed.find(service.first);
@@ -66,7 +66,7 @@
     if (record)
         out.barred = record->barred;
     for (const RolloutOrder &order : known_.orders) {
-        if (order.service == service && (!record || !isOf(*record, order, known_.era)))
+        if (order.service == service && (!record || !belongsTo(*record, order, known_.era)))
             out.barred.insert(order.target);
     }
     const auto listed = listed_.find(service);
@@ -98,7 +98,7 @@
         break;
     default:
         out.targetShare = 1;
-        out.alsoRepeats = true;
+        out.includesRetries = true;
     }
     return out;
 }
@@ -108,7 +108,7 @@
     const RolloutRecord *record = recordOf(service);
     return undecided(service) != nullptr
         || std::any_of(known_.orders.begin(), known_.orders.end(), [&](const RolloutOrder &order) {
-               return order.service == service && (!record || !isOf(*record, order, known_.era));
+               return order.service == service && (!record || !belongsTo(*record, order, known_.era));
            });
 }
 
@@ -117,7 +117,7 @@
     std::map<ServiceName, std::set<SoftwareVersion>> out;
     for (const RolloutOrder &order : known_.orders) {
         const RolloutRecord *record = recordOf(order.service);
-        if (!record || !isOf(*record, order, known_.era))
+        if (!record || !belongsTo(*record, order, known_.era))
             out[order.service].insert(order.target);
     }
     for (const std::pair<const ServiceName, RolloutRecord> &each : known_.records) {
--- a/src/gateway/rollout/rolloutview.h
+++ b/src/gateway/rollout/rolloutview.h
@@ -12,11 +12,11 @@
 {
 public:
     /// Takes new orders and records. `knownAt`: the store held them at or after this time.
-    void take(const RolloutsKnown &known, TimeMs knownAt);
+    void update(const RolloutsKnown &known, TimeMs knownAt);
     /// Records that a version of a service was listed in a view read at `listedAt`.
-    void noteListed(const ServiceName &service, const SoftwareVersion &version, TimeMs listedAt);
+    void recordListed(const ServiceName &service, const SoftwareVersion &version, TimeMs listedAt);
     /// Removes versions that no listed endpoint has any more.
-    void forgetOthers(const std::map<ServiceName, std::set<SoftwareVersion>> &listed);
+    void removeUnlisted(const std::map<ServiceName, std::set<SoftwareVersion>> &listed);
     /// Marks the target of the current roll-out as bad: this daemon sends it no requests until that roll-out
     /// is over.
     void suspect(const ServiceName &service);
@@ -25,7 +25,7 @@
         SoftwareVersion target; ///< Empty: no roll-out currently sends requests to a target.
         double targetShare = 0; ///< Share of the requests on their first attempt that goes to the target.
         uint32_t loadRequests = 0; ///< Requests of all daemons together that load one target endpoint.
-        bool alsoRepeats = false; ///< Retries go to the target as well.
+        bool includesRetries = false; ///< Retries go to the target as well.
         /// Versions barred for all other requests, and for requests that find no free slot at the target.
         std::set<SoftwareVersion> barred;
     };
--- a/src/gateway/rollout/trialcounts.cpp
+++ b/src/gateway/rollout/trialcounts.cpp
@@ -10,14 +10,14 @@
 
 /// Interruptions at one endpoint within this time count once: the loss of its running requests is known by
 /// then.
-constexpr DurationMs OneBreak{1000};
+constexpr DurationMs InterruptionMergeWindow{1000};
 /// Max routes counted separately; further routes are counted together.
-constexpr size_t MostRoutes = 24;
+constexpr size_t MaxRoutes = 24;
 constexpr const char *OtherRoutes = "(others)";
 /// A version that is slower "several times" is detected at this factor, even if only every second request is
 /// slow; queueing of a busy service stays below it.
 constexpr double SlowFactor = 3;
-constexpr uint32_t LeastKnown = 10; ///< Samples before a time can be classified as slow.
+constexpr uint32_t MinSamples = 10; ///< Samples before a time can be classified as slow.
 constexpr double NewestWeight = 0.02; ///< Weight of the newest sample: a moving mean over about fifty.
 
 } // namespace
@@ -37,13 +37,13 @@
     trials_.erase(service);
 }
 
-void TrialCounts::note(const ServiceName &service, const std::string &route, uint32_t group, bool bad)
+void TrialCounts::record(const ServiceName &service, const std::string &route, uint32_t group, bool bad)
 {
     const auto found = trials_.find(service);
     if (found == trials_.end())
         return;
     Trial &trial = found->second;
-    const bool hasRoom = trial.counts.size() < MostRoutes * (TrialCount::Groups + 1);
+    const bool hasRoom = trial.counts.size() < MaxRoutes * (TrialCount::Groups + 1);
     const std::string &name = hasRoom || trial.counts.contains({route, group}) ? route : OtherRoutes;
     TrialCount &count = trial.counts[{name, group}];
     count.service = service;
@@ -54,17 +54,17 @@
     count.bad += bad ? 1 : 0;
 }
 
-void TrialCounts::noteBroken(const ServiceName &service, const std::string &route, uint32_t group,
-                             const std::string &endpoint, TimeMs now)
+void TrialCounts::recordInterrupted(const ServiceName &service, const std::string &route, uint32_t group,
+                                    const std::string &endpoint, TimeMs now)
 {
     const auto found = trials_.find(service);
     if (found == trials_.end())
         return;
-    const auto [at, isFirst] = found->second.brokenAt.try_emplace(endpoint, now);
-    if (!isFirst && now - at->second < OneBreak)
+    const auto [at, isFirst] = found->second.interruptedAt.try_emplace(endpoint, now);
+    if (!isFirst && now - at->second < InterruptionMergeWindow)
         return;
     at->second = now;
-    note(service, route, group, true);
+    record(service, route, group, true);
 }
 
 std::vector<TrialCount> TrialCounts::rows() const
@@ -77,7 +77,7 @@
     return out;
 }
 
-void UsualTimes::note(const std::string &route, Step step, double time)
+void BaselineTimes::record(const std::string &route, Step step, double time)
 {
     if (time <= 0)
         return;
@@ -87,10 +87,10 @@
     mean.logarithm += weight * (std::log(time) - mean.logarithm);
 }
 
-bool UsualTimes::isSlow(const std::string &route, Step step, double time, double least) const
+bool BaselineTimes::isSlow(const std::string &route, Step step, double time, double least) const
 {
     const auto found = means_.find({route, step});
-    if (found == means_.end() || found->second.count < LeastKnown)
+    if (found == means_.end() || found->second.count < MinSamples)
         return false;
     return time > SlowFactor * std::max(std::exp(found->second.logarithm), least);
 }
--- a/src/gateway/rollout/trialcounts.h
+++ b/src/gateway/rollout/trialcounts.h
@@ -15,11 +15,11 @@
 
     /// Records an answer, or one that will not arrive. `group`: group of the endpoint, or
     /// `TrialCount::Others`.
-    void note(const ServiceName &service, const std::string &route, uint32_t group, bool bad);
+    void record(const ServiceName &service, const std::string &route, uint32_t group, bool bad);
     /// Records an interrupted attempt. Other attempts at the endpoint are interrupted with it, so all of them
     /// within a short time count as one answer.
-    void noteBroken(const ServiceName &service, const std::string &route, uint32_t group,
-                    const std::string &endpoint, TimeMs now);
+    void recordInterrupted(const ServiceName &service, const std::string &route, uint32_t group,
+                           const std::string &endpoint, TimeMs now);
 
     std::vector<TrialCount> rows() const;
 
@@ -32,7 +32,7 @@
     struct Trial {
         SoftwareVersion target;
         std::map<Key, TrialCount> counts;
-        std::map<std::string, TimeMs> brokenAt; ///< Last counted interruption of each endpoint.
+        std::map<std::string, TimeMs> interruptedAt; ///< Last counted interruption of each endpoint.
     };
 
     std::map<ServiceName, Trial> trials_;
@@ -43,12 +43,12 @@
 
 /// Moving means (of logarithms) of the time that a step of a request takes on each route, from endpoints that
 /// are not on trial.
-class UsualTimes
+class BaselineTimes
 {
 public:
-    enum class Step : uint8_t { FirstEvent, EventPace, WholeAnswer };
+    enum class Step : uint8_t { FirstEvent, EventInterval, FullResponse };
 
-    void note(const std::string &route, Step step, double time);
+    void record(const std::string &route, Step step, double time);
     /// Returns whether `time` is several times the mean; false while there are too few samples. Means below
     /// `least` are raised to it, since such short times vary for other reasons.
     bool isSlow(const std::string &route, Step step, double time, double least) const;
--- a/src/gateway/rollout/trials.cpp
+++ b/src/gateway/rollout/trials.cpp
@@ -10,29 +10,29 @@
 
 namespace {
 
-constexpr DurationMs JudgePace{250};
+constexpr DurationMs EvaluationInterval{250};
 /// Events after which the mean interval between a stream's events is evaluated.
-constexpr uint64_t PaceEvents = 6;
+constexpr uint64_t MinIntervalEvents = 6;
 /// Full responses shorter than this vary for reasons outside the endpoint.
-constexpr double LeastAnswerMs = 10;
+constexpr double MinResponseMs = 10;
 /// First events are compared with the time to prefill the whole prompt. Cached parts make an endpoint faster,
 /// and missing ones are no fault of its version.
-constexpr double LeastFirstEvent = 1;
-constexpr double LeastPaceMs = 1;
+constexpr double MinFirstEventRatio = 1;
+constexpr double MinEventIntervalMs = 1;
 constexpr uint64_t ShareResolution = 10'000;
 /// Endpoints on trial have empty caches and prefill several times as much as the others, so the load is
 /// shared by this multiple of the endpoints. With only as many as the other versions need, first events took
 /// three times as long.
-constexpr double ColdReserve = 2;
+constexpr double ColdEndpointFactor = 2;
 /// Min endpoints on trial, so that one endpoint that is bad for its own reasons does not decide about the
 /// version.
-constexpr size_t LeastOnTrial = 3;
+constexpr size_t MinTrialEndpoints = 3;
 /// A request may load an endpoint if its prefill takes less than its latency target divided by this.
-constexpr double LoadReadingPart = 10;
+constexpr double LoadPrefillDivisor = 10;
 /// An endpoint counts as loaded from this share of the concurrent requests that sizing plans for an engine.
-constexpr double LoadedPart = 0.5;
+constexpr double LoadedShare = 0.5;
 
-bool isDrawn(const std::string &requestId, const SoftwareVersion &target, double share)
+bool isSampled(const std::string &requestId, const SoftwareVersion &target, double share)
 {
     const uint64_t at = rendezvousWeight(requestId, EndpointId{target.value}) % ShareResolution;
     return static_cast<double>(at) < share * static_cast<double>(ShareResolution);
@@ -40,7 +40,7 @@
 
 } // namespace
 
-int64_t Gateway::wallAt(TimeMs now) const
+int64_t Gateway::wallTimeAt(TimeMs now) const
 {
     return now.count + usage_.offset();
 }
@@ -49,8 +49,8 @@
 
 void Gateway::onRollouts(const RolloutsRead &read, TimeMs now)
 {
-    rollouts_.take(read.known, read.askedAt);
-    fleet_.setOutOfUse(rollouts_.outOfUse());
+    rollouts_.update(read.known, read.askedAt);
+    fleet_.setInactiveVersions(rollouts_.outOfUse());
     for (const std::pair<const ServiceName, RolloutRecord> &each : read.known.records) {
         const RolloutRecord &record = each.second;
         const auto found = trials_.find(each.first);
@@ -63,7 +63,7 @@
             trialCounts_.begin(each.first, record.target);
         }
         trials_[each.first].stage = record.stage;
-        log_.write(LogWeight::State, "rollout",
+        log_.write(LogPriority::State, "rollout",
                    {{"service", each.first.value},
                     {"target", record.target.value},
                     {"stage", toText(record.stage)},
@@ -75,16 +75,16 @@
     runQueue(now);
 }
 
-void Gateway::noteVersions(const EndpointsRead &read)
+void Gateway::recordListedVersions(const EndpointsRead &read)
 {
     std::map<ServiceName, std::set<SoftwareVersion>> listed;
     for (const EndpointEntry &entry : read.entries) {
         if (!entry.readable)
             continue;
         listed[entry.service].insert(entry.version);
-        rollouts_.noteListed(entry.service, entry.version, read.askedAt);
+        rollouts_.recordListed(entry.service, entry.version, read.askedAt);
     }
-    rollouts_.forgetOthers(listed);
+    rollouts_.removeUnlisted(listed);
 }
 
 // Selects the endpoints that take trial requests. They are few, because an endpoint shows its behaviour only
@@ -92,8 +92,9 @@
 std::set<EndpointId> Gateway::trialEndpoints(const Exchange &exchange, const RolloutView::Rule &rule) const
 {
     const std::vector<EndpointId> ranked = fleet_.ranked(exchange.service, rule.target);
-    const double wanted = std::ceil(rule.targetShare * ColdReserve * static_cast<double>(ranked.size()));
-    const size_t count = std::max(static_cast<size_t>(wanted), LeastOnTrial);
+    const double wanted
+        = std::ceil(rule.targetShare * ColdEndpointFactor * static_cast<double>(ranked.size()));
+    const size_t count = std::max(static_cast<size_t>(wanted), MinTrialEndpoints);
     const size_t from = rule.targetShare < 1 && ranked.size() > count ? 1 : 0;
     const size_t to = std::min(from + count, ranked.size());
     return {ranked.begin() + static_cast<std::ptrdiff_t>(from),
@@ -101,71 +102,71 @@
 }
 
 // Requests with a short prefill load an endpoint without delaying each other.
-bool Gateway::mayLoad(const Exchange &exchange, const PlacementQuestion &question,
-                      const RolloutView::Rule &rule, TimeMs now) const
+bool Gateway::canUseAsLoad(const Exchange &exchange, const PlacementQuery &question,
+                           const RolloutView::Rule &rule, TimeMs now) const
 {
     const auto trial = trials_.find(exchange.service);
     if (rule.loadRequests == 0 || !question.engine || trial == trials_.end())
         return false;
-    const double reading = static_cast<double>(exchange.request->promptTokens)
-        / readingSpeed(demand_.readings(exchange.service)).tokensPerMs;
+    const double prefillMs = static_cast<double>(exchange.request->promptTokens)
+        / prefillSpeed(demand_.prefillSums(exchange.service)).tokensPerMs;
     const uint32_t own
-        = 1 + rule.loadRequests / static_cast<uint32_t>(std::max<size_t>(peers_.sharers(now), 1));
+        = 1 + rule.loadRequests / static_cast<uint32_t>(std::max<size_t>(peers_.servingCount(now), 1));
     return trial->second.loadSent < own
-        && reading * LoadReadingPart < static_cast<double>(exchange.route->latencyTarget.count);
+        && prefillMs * LoadPrefillDivisor < static_cast<double>(exchange.route->latencyTarget.count);
 }
 
 // Selects an endpoint by the rules of the roll-out. A request sampled for the target that finds no free slot
 // there goes to the other versions. Retries go to the known versions. In the emptying stage a request waits
 // for the target instead.
-PlacementResult Gateway::placeByVersion(Exchange &exchange, PlacementQuestion &question, TimeMs now)
+PlacementResult Gateway::selectByVersion(Exchange &exchange, PlacementQuery &question, TimeMs now)
 {
     exchange.trialRole = TrialRole::Ordinary;
-    const RolloutView::Rule rule = rollouts_.rule(exchange.service, wallAt(now));
-    question.barred = rule.barred;
+    const RolloutView::Rule rule = rollouts_.rule(exchange.service, wallTimeAt(now));
+    question.excludedVersions = rule.barred;
     const bool wasSent = exchange.sends > 0 || exchange.rejections > 0 || !exchange.tried.empty();
-    if (rule.target.value.empty() || (wasSent && !rule.alsoRepeats))
+    if (rule.target.value.empty() || (wasSent && !rule.includesRetries))
         return fleet_.choose(question, now);
     PlacementResult atTarget;
-    if (isDrawn(exchange.request->id, rule.target, rule.targetShare))
-        atTarget = placeAtTarget(rule, question, trialEndpoints(exchange, rule), now);
-    else if (mayLoad(exchange, question, rule, now))
-        atTarget = placeAsLoad(exchange, rule, question, now);
-    const bool waits = rule.alsoRepeats && atTarget.problem == PlacementProblem::AllBusy;
+    if (isSampled(exchange.request->id, rule.target, rule.targetShare))
+        atTarget = selectAtTarget(rule, question, trialEndpoints(exchange, rule), now);
+    else if (canUseAsLoad(exchange, question, rule, now))
+        atTarget = selectForLoad(exchange, rule, question, now);
+    const bool waits = rule.includesRetries && atTarget.problem == PlacementProblem::AllBusy;
     return atTarget.choice || waits ? atTarget : fleet_.choose(question, now);
 }
 
-PlacementResult Gateway::placeAtTarget(const RolloutView::Rule &rule, PlacementQuestion question,
-                                       std::set<EndpointId> among, TimeMs now) const
+PlacementResult Gateway::selectAtTarget(const RolloutView::Rule &rule, PlacementQuery question,
+                                        std::set<EndpointId> among, TimeMs now) const
 {
-    question.barred.erase(rule.target);
+    question.excludedVersions.erase(rule.target);
     question.isCold = true;
-    question.among = std::move(among);
+    question.restrictedTo = std::move(among);
     return fleet_.choose(question, now);
 }
 
-PlacementResult Gateway::placeAsLoad(Exchange &exchange, const RolloutView::Rule &rule,
-                                     PlacementQuestion question, TimeMs now)
+PlacementResult Gateway::selectForLoad(Exchange &exchange, const RolloutView::Rule &rule,
+                                       PlacementQuery question, TimeMs now)
 {
     const std::vector<EndpointId> ranked = fleet_.ranked(exchange.service, rule.target);
     if (ranked.empty())
         return {};
-    question.mostWaitMs = 0; // No bound on the wait: the endpoint is to be filled.
-    PlacementResult result = placeAtTarget(rule, question, {ranked.front()}, now);
+    question.maxWaitMs = 0; // No bound on the wait: the endpoint is to be filled.
+    PlacementResult result = selectAtTarget(rule, question, {ranked.front()}, now);
     if (result.choice)
-        noteLoad(exchange, *question.engine, result.choice->endpoint);
+        recordLoadRequest(exchange, *question.engine, result.choice->endpoint);
     return result;
 }
 
 // ---- Outcomes ----
 
-void Gateway::noteLoad(Exchange &exchange, const EngineFigures &engine, const EndpointId &at)
+void Gateway::recordLoadRequest(Exchange &exchange, const EngineFigures &engine, const EndpointId &at)
 {
     ++trials_[exchange.service].loadSent;
     const FleetEndpoint *endpoint = fleet_.find(at);
     const double running = endpoint ? endpoint->running + endpoint->peersRunning : 0;
-    const bool isLoaded = running > LoadedPart * engineCapacity(engine, ServiceDemand{}).running;
-    exchange.trialRole = isLoaded ? TrialRole::Loaded : TrialRole::Fills;
+    const bool isLoaded = running > LoadedShare * engineCapacity(engine, ServiceDemand{}).running;
+    exchange.trialRole = isLoaded ? TrialRole::Loaded : TrialRole::AddsLoad;
 }
 
 bool Gateway::isOnTrial(const FleetEndpoint &endpoint) const
@@ -174,49 +175,49 @@
     return record && record->target == endpoint.entry.version;
 }
 
-uint32_t Gateway::groupOf(const FleetEndpoint &endpoint) const
+uint32_t Gateway::trialGroupOf(const FleetEndpoint &endpoint) const
 {
     return isOnTrial(endpoint) ? trialGroup(endpoint.entry.id.value) : uint32_t{TrialCount::Others};
 }
 
-void Gateway::noteStep(const Exchange &exchange, UsualTimes::Step step, double time, double least)
+void Gateway::recordStep(const Exchange &exchange, BaselineTimes::Step step, double time, double least)
 {
-    const FleetEndpoint *endpoint = fleet_.find(exchange.at);
+    const FleetEndpoint *endpoint = fleet_.find(exchange.sentTo);
     if (!endpoint)
         return;
     const std::string &route = exchange.route->name;
     const bool isLoad = exchange.trialRole != TrialRole::Ordinary;
-    if (isLoad && step == UsualTimes::Step::EventPace)
+    if (isLoad && step == BaselineTimes::Step::EventInterval)
         return;
     const bool onTrial = isOnTrial(*endpoint);
     const bool isSlow = usualTimes_.isSlow(route, step, time, least);
     if (!onTrial)
-        usualTimes_.note(route, step, time);
-    const bool tellsLittle
-        = isLoad || (step != UsualTimes::Step::WholeAnswer && onTrial && isMoving(exchange.service));
-    noteAnswers(exchange, *endpoint, isSlow && !tellsLittle);
+        usualTimes_.record(route, step, time);
+    const bool isInconclusive
+        = isLoad || (step != BaselineTimes::Step::FullResponse && onTrial && isMoving(exchange.service));
+    recordOutcome(exchange, *endpoint, isSlow && !isInconclusive);
 }
 
-void Gateway::noteAnswers(const Exchange &exchange, const FleetEndpoint &endpoint, bool bad)
+void Gateway::recordOutcome(const Exchange &exchange, const FleetEndpoint &endpoint, bool bad)
 {
     const bool isLoaded = exchange.trialRole == TrialRole::Loaded;
-    if (exchange.trialRole != TrialRole::Fills)
-        trialCounts_.note(exchange.service, isLoaded ? TrialCount::LoadRoute : exchange.route->name,
-                          groupOf(endpoint), bad);
+    if (exchange.trialRole != TrialRole::AddsLoad)
+        trialCounts_.record(exchange.service, isLoaded ? TrialCount::LoadRoute : exchange.route->name,
+                            trialGroupOf(endpoint), bad);
 }
 
 // Returns the expected time to the first event if the whole prompt must be prefilled, after the prefills
 // queued before it.
 double Gateway::expectedFirstEventMs(const Exchange &exchange, const PlacementChoice &choice) const
 {
-    const ReadingSpeed speed = readingSpeed(demand_.readings(exchange.service));
+    const PrefillSpeed speed = prefillSpeed(demand_.prefillSums(exchange.service));
     return std::max(1.0,
                     speed.baseMs + choice.waitMs
                         + static_cast<double>(exchange.request->promptTokens) / speed.tokensPerMs);
 }
 
 // Returns the time to the first event as a multiple of the expected time.
-double Gateway::firstEventTimes(const Exchange &exchange, TimeMs now)
+double Gateway::firstEventRatio(const Exchange &exchange, TimeMs now)
 {
     return static_cast<double>((now - exchange.sentAt).count) / std::max(exchange.expectedMs, 1.0);
 }
@@ -230,58 +231,59 @@
     return record && record->stage >= RolloutStage::Moving;
 }
 
-void Gateway::noteFirstEvent(Exchange &exchange, TimeMs now)
+void Gateway::recordFirstEvent(Exchange &exchange, TimeMs now)
 {
-    if (!std::exchange(exchange.startIsJudged, true))
-        noteStep(exchange, UsualTimes::Step::FirstEvent, firstEventTimes(exchange, now), LeastFirstEvent);
+    if (!std::exchange(exchange.startIsEvaluated, true))
+        recordStep(exchange, BaselineTimes::Step::FirstEvent, firstEventRatio(exchange, now),
+                   MinFirstEventRatio);
 }
 
-void Gateway::noteEventPace(Exchange &exchange, TimeMs now)
+void Gateway::recordEventInterval(Exchange &exchange, TimeMs now)
 {
-    if (exchange.eventsHere < PaceEvents || std::exchange(exchange.paceIsJudged, true))
+    if (exchange.attemptEvents < MinIntervalEvents || std::exchange(exchange.eventIntervalIsEvaluated, true))
         return;
     const double pace = static_cast<double>((now - exchange.firstEventAt).count)
-        / static_cast<double>(exchange.eventsHere - 1);
-    noteStep(exchange, UsualTimes::Step::EventPace, pace, LeastPaceMs);
+        / static_cast<double>(exchange.attemptEvents - 1);
+    recordStep(exchange, BaselineTimes::Step::EventInterval, pace, MinEventIntervalMs);
 }
 
-void Gateway::noteWholeAnswer(Exchange &exchange, TimeMs now)
+void Gateway::recordFullResponse(Exchange &exchange, TimeMs now)
 {
-    if (!std::exchange(exchange.startIsJudged, true))
-        noteStep(exchange, UsualTimes::Step::WholeAnswer, static_cast<double>((now - exchange.sentAt).count),
-                 LeastAnswerMs);
+    if (!std::exchange(exchange.startIsEvaluated, true))
+        recordStep(exchange, BaselineTimes::Step::FullResponse,
+                   static_cast<double>((now - exchange.sentAt).count), MinResponseMs);
 }
 
-void Gateway::noteBadAnswer(Exchange &exchange, bool broke, TimeMs now)
+void Gateway::recordBadOutcome(Exchange &exchange, bool broke, TimeMs now)
 {
-    const FleetEndpoint *endpoint = fleet_.find(exchange.at);
-    if (!endpoint || std::exchange(exchange.startIsJudged, true))
+    const FleetEndpoint *endpoint = fleet_.find(exchange.sentTo);
+    if (!endpoint || std::exchange(exchange.startIsEvaluated, true))
         return;
     if (broke)
-        trialCounts_.noteBroken(exchange.service, exchange.route->name, groupOf(*endpoint),
-                                exchange.at.id.value, now);
+        trialCounts_.recordInterrupted(exchange.service, exchange.route->name, trialGroupOf(*endpoint),
+                                       exchange.sentTo.id.value, now);
     else
-        noteAnswers(exchange, *endpoint, true);
+        recordOutcome(exchange, *endpoint, true);
 }
 
 // Counts an overdue answer as bad at once: one that never arrives would otherwise be recorded only when its
 // caller gives up.
-void Gateway::noteOverdue(TimeMs now)
+void Gateway::recordOverdue(TimeMs now)
 {
     for (const std::pair<const AttemptId, CallerId> &entry : attempts_) {
         Exchange &exchange = exchanges_.at(entry.second);
-        if (exchange.startIsJudged || exchange.streaming || !trialCounts_.isOn(exchange.service))
+        if (exchange.startIsEvaluated || exchange.streaming || !trialCounts_.isOn(exchange.service))
             continue;
         const bool isStream = exchange.route->kind == RouteKind::Streaming;
         const bool isSlow = isStream
-            ? usualTimes_.isSlow(exchange.route->name, UsualTimes::Step::FirstEvent,
-                                 firstEventTimes(exchange, now), LeastFirstEvent)
-            : usualTimes_.isSlow(exchange.route->name, UsualTimes::Step::WholeAnswer,
-                                 static_cast<double>((now - exchange.sentAt).count), LeastAnswerMs);
-        const bool tellsLittle
+            ? usualTimes_.isSlow(exchange.route->name, BaselineTimes::Step::FirstEvent,
+                                 firstEventRatio(exchange, now), MinFirstEventRatio)
+            : usualTimes_.isSlow(exchange.route->name, BaselineTimes::Step::FullResponse,
+                                 static_cast<double>((now - exchange.sentAt).count), MinResponseMs);
+        const bool isInconclusive
             = exchange.trialRole != TrialRole::Ordinary || (isStream && isMoving(exchange.service));
-        if (isSlow && !tellsLittle)
-            noteBadAnswer(exchange, false, now);
+        if (isSlow && !isInconclusive)
+            recordBadOutcome(exchange, false, now);
     }
 }
 
@@ -289,12 +291,12 @@
 
 // All serving daemons evaluate the same counts. A daemon that finds the version bad stops sending requests to
 // it at once, without waiting for the leader's decision to arrive through the store.
-void Gateway::tickTrials(TimeMs now)
+void Gateway::evaluateTrials(TimeMs now)
 {
-    if (now < trialsAt_)
+    if (now < nextTrialCheckAt_)
         return;
-    trialsAt_ = now + JudgePace;
-    noteOverdue(now);
+    nextTrialCheckAt_ = now + EvaluationInterval;
+    recordOverdue(now);
     std::vector<TrialCount> counts;
     for (std::pair<const ServiceName, Trial> &each : trials_) {
         Trial &trial = each.second;
@@ -310,20 +312,20 @@
                      [&](const TrialCount &count) {
                          return count.service == each.first && count.target == trial.target;
                      });
-        trial.judge.take(ofService);
-        if (!trial.judge.isBad() || std::exchange(trial.isSuspected, true))
+        trial.evaluator.update(ofService);
+        if (!trial.evaluator.isBad() || std::exchange(trial.isSuspected, true))
             continue;
         rollouts_.suspect(each.first);
         counters_.add(GatewayCount::VersionsSuspected);
         boost::json::object fields{{"service", each.first.value}, {"target", trial.target.value}};
-        addFigures(trial.judge.figures(), fields);
-        log_.write(LogWeight::State, "version_suspected", std::move(fields));
+        addFigures(trial.evaluator.figures(), fields);
+        log_.write(LogPriority::State, "version_suspected", std::move(fields));
     }
 }
 
-std::map<ServiceName, RolloutFacts> Gateway::rolloutFacts(TimeMs now) const
+std::map<ServiceName, RolloutObservations> Gateway::observeRollouts(TimeMs now) const
 {
-    std::map<ServiceName, RolloutFacts> out;
+    std::map<ServiceName, RolloutObservations> out;
     for (const RolloutOrder &order : rollouts_.known().orders)
         out[order.service];
     for (const std::pair<const ServiceName, RolloutRecord> &record : rollouts_.known().records)
@@ -331,21 +333,21 @@
     if (out.empty())
         return out;
     const std::map<ServiceName, ServiceDemand> demands = demand(now);
-    for (std::pair<const ServiceName, RolloutFacts> &each : out) {
-        RolloutFacts &facts = each.second;
+    for (std::pair<const ServiceName, RolloutObservations> &each : out) {
+        RolloutObservations &facts = each.second;
         const auto asked = demands.find(each.first);
         facts.requestsPerSecond = asked == demands.end() ? 0 : asked->second.requestsPerSecond;
         const ServedService *service = configuration_ ? configuration_->findService(each.first) : nullptr;
         facts.isKnownService = service != nullptr;
         if (service && service->engine)
-            facts.placesOfTarget
+            facts.slotsPerTarget
                 = static_cast<uint32_t>(engineCapacity(*service->engine, ServiceDemand{}).running);
         const auto trial = trials_.find(each.first);
         if (trial == trials_.end())
             continue;
-        facts.isBad = trial->second.judge.isBad();
-        facts.isProven = trial->second.judge.isProven();
-        facts.figures = trial->second.judge.figures();
+        facts.isBad = trial->second.evaluator.isBad();
+        facts.isProven = trial->second.evaluator.isProven();
+        facts.figures = trial->second.evaluator.figures();
     }
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : fleet_.all()) {
         const FleetEndpoint &endpoint = entry.second;
--- a/src/gateway/rollout/versionevaluator.cpp
+++ b/src/gateway/rollout/versionevaluator.cpp
@@ -8,29 +8,29 @@
 namespace {
 
 /// Min share of otherwise good answers that a bad version makes bad.
-constexpr double LeastSpoiled = 0.25;
+constexpr double MinExcessBad = 0.25;
 /// Score at which a version is bad: about one false alarm in e^7 independent evaluations.
-constexpr double BadScore = 7;
+constexpr double BadScoreThreshold = 7;
 /// The baseline is taken from about this number of the newest answers of the other versions...
-constexpr double UsualMemory = 300;
+constexpr double BaselineWindow = 300;
 /// ...and from this number of good answers assumed beforehand.
-constexpr double AssumedGood = 20;
-constexpr double LeastUsualBad = 0.02; ///< With a lower one a single bad answer would weigh too much.
-constexpr double MostUsualBad = 0.9;
+constexpr double PriorGoodAnswers = 20;
+constexpr double MinBaselineBad = 0.02; ///< With a lower one a single bad answer would weigh too much.
+constexpr double MaxBaselineBad = 0.9;
 /// Min answers of the target in total, and on each significant route, that prove a version.
-constexpr uint64_t ProvenAnswers = 40;
-constexpr uint64_t ProvenAnswersOfRoute = 3;
+constexpr uint64_t MinProvenAnswers = 40;
+constexpr uint64_t MinProvenRouteAnswers = 3;
 /// A version whose share of bad answers exceeds that of the others by more than this is not proven, even
 /// without an alarm.
-constexpr double MostWorse = 0.12;
+constexpr double MaxProvenExcessBad = 0.12;
 /// A route with a smaller share of the other versions' answers needs no proof of its own.
-constexpr double NoticeablePart = 0.1;
+constexpr double SignificantRouteShare = 0.1;
 
 constexpr const char *AllRoutes = "";
 
 } // namespace
 
-void VersionJudge::take(const std::vector<TrialCount> &sums)
+void VersionEvaluator::update(const std::vector<TrialCount> &sums)
 {
     std::map<Key, Counts> totals;
     for (const TrialCount &each : sums) {
@@ -55,39 +55,40 @@
     for (const std::pair<const Key, Counts> &each : news) {
         routes.insert(each.first.first);
         if (each.first.second == TrialCount::Others)
-            takeUsual(each.first.first, each.second);
+            updateBaseline(each.first.first, each.second);
     }
     const uint32_t worst = worstGroup();
     for (const std::string &route : routes) {
         double &score = scores_[route];
         // Only one endpoint is loaded, so no group is left out there.
         score = std::max(
-            0.0, score + step(route, news, route == TrialCount::LoadRoute ? TrialCount::Others : worst));
-        if (score >= BadScore && !isBad_) {
+            0.0, score + scoreStep(route, news, route == TrialCount::LoadRoute ? TrialCount::Others : worst));
+        if (score >= BadScoreThreshold && !isBad_) {
             isBad_ = true;
-            decidedBy_ = route;
+            decidingRoute_ = route;
         }
     }
 }
 
-void VersionJudge::takeUsual(const std::string &route, const Counts &news)
+void VersionEvaluator::updateBaseline(const std::string &route, const Counts &news)
 {
-    Usual &usual = usual_[route];
-    const double kept = std::max(0.0, 1 - static_cast<double>(news.answers) / UsualMemory);
-    usual.answers = usual.answers * kept + static_cast<double>(news.answers);
-    usual.bad = usual.bad * kept + static_cast<double>(news.bad);
+    Baseline &baseline = baselines_[route];
+    const double kept = std::max(0.0, 1 - static_cast<double>(news.answers) / BaselineWindow);
+    baseline.answers = baseline.answers * kept + static_cast<double>(news.answers);
+    baseline.bad = baseline.bad * kept + static_cast<double>(news.bad);
 }
 
-double VersionJudge::step(const std::string &route, const std::map<Key, Counts> &news, uint32_t worst) const
+double VersionEvaluator::scoreStep(const std::string &route, const std::map<Key, Counts> &news,
+                                   uint32_t worst) const
 {
-    const auto found = usual_.find(route);
-    const Usual usual = found == usual_.end() ? Usual{} : found->second;
-    const double usualBad
-        = std::clamp((usual.bad + AssumedGood * LeastUsualBad) / (usual.answers + AssumedGood), LeastUsualBad,
-                     MostUsualBad);
-    const double spoiledBad = usualBad + LeastSpoiled * (1 - usualBad);
-    const double ofBad = std::log(spoiledBad / usualBad);
-    const double ofGood = std::log((1 - spoiledBad) / (1 - usualBad));
+    const auto found = baselines_.find(route);
+    const Baseline usual = found == baselines_.end() ? Baseline{} : found->second;
+    const double baselineBad
+        = std::clamp((usual.bad + PriorGoodAnswers * MinBaselineBad) / (usual.answers + PriorGoodAnswers),
+                     MinBaselineBad, MaxBaselineBad);
+    const double excessBad = baselineBad + MinExcessBad * (1 - baselineBad);
+    const double badWeight = std::log(excessBad / baselineBad);
+    const double goodWeight = std::log((1 - excessBad) / (1 - baselineBad));
     double sum = 0;
     for (const std::pair<const Key, Counts> &each : news) {
         if (each.first.first != route || each.first.second == TrialCount::Others
@@ -95,13 +96,13 @@
             continue;
         const double good
             = static_cast<double>(each.second.answers - std::min(each.second.answers, each.second.bad));
-        sum += std::min(static_cast<double>(each.second.bad) * ofBad + good * ofGood, ofBad);
+        sum += std::min(static_cast<double>(each.second.bad) * badWeight + good * goodWeight, badWeight);
     }
     return sum;
 }
 
 // Returns the group with the most bad answers, or `Others` if no second group has answers.
-uint32_t VersionJudge::worstGroup() const
+uint32_t VersionEvaluator::worstGroup() const
 {
     uint32_t worst = TrialCount::Others;
     uint64_t most = 0;
@@ -119,7 +120,7 @@
     return groups > 1 ? worst : TrialCount::Others;
 }
 
-VersionJudge::Counts VersionJudge::targetCounts(const std::string &route) const
+VersionEvaluator::Counts VersionEvaluator::targetCounts(const std::string &route) const
 {
     Counts out;
     for (uint32_t group = 0; group < TrialCount::Groups; ++group) {
@@ -132,7 +133,7 @@
     return out;
 }
 
-bool VersionJudge::isProven() const
+bool VersionEvaluator::isProven() const
 {
     const auto all = sums_.find({AllRoutes, TrialCount::Others});
     const double others = all == sums_.end() ? 0 : static_cast<double>(all->second.answers);
@@ -140,22 +141,23 @@
     const double othersBad = all == sums_.end() || all->second.answers == 0
         ? 0
         : static_cast<double>(all->second.bad) / static_cast<double>(all->second.answers);
-    if (target.answers < ProvenAnswers
-        || static_cast<double>(target.bad) / static_cast<double>(target.answers) > othersBad + MostWorse)
+    if (target.answers < MinProvenAnswers
+        || static_cast<double>(target.bad) / static_cast<double>(target.answers)
+            > othersBad + MaxProvenExcessBad)
         return false;
     return std::all_of(sums_.begin(), sums_.end(), [&](const std::pair<const Key, Counts> &each) {
-        const bool isNoticeable = each.first.second == TrialCount::Others
-            && static_cast<double>(each.second.answers) >= NoticeablePart * others;
-        return !isNoticeable || targetCounts(each.first.first).answers >= ProvenAnswersOfRoute;
+        const bool isSignificant = each.first.second == TrialCount::Others
+            && static_cast<double>(each.second.answers) >= SignificantRouteShare * others;
+        return !isSignificant || targetCounts(each.first.first).answers >= MinProvenRouteAnswers;
     });
 }
 
-VersionJudge::Figures VersionJudge::figures() const
+VersionEvaluator::Figures VersionEvaluator::figures() const
 {
     Figures out;
-    out.route = decidedBy_;
+    out.route = decidingRoute_;
     for (const std::pair<const std::string, double> &score : scores_) {
-        if (isBad_ ? score.first == decidedBy_ : score.second >= out.score) {
+        if (isBad_ ? score.first == decidingRoute_ : score.second >= out.score) {
             out.route = score.first;
             out.score = score.second;
         }
@@ -170,7 +172,7 @@
     return out;
 }
 
-void addFigures(const VersionJudge::Figures &figures, boost::json::object &fields)
+void addFigures(const VersionEvaluator::Figures &figures, boost::json::object &fields)
 {
     fields["route"] = figures.route;
     fields["score"] = figures.score;
--- a/src/gateway/rollout/versionevaluator.h
+++ b/src/gateway/rollout/versionevaluator.h
@@ -20,11 +20,11 @@
 /// answers is left out: a bad version is bad on all endpoints.
 ///
 /// It works at any request rate; with few requests it takes longer.
-class VersionJudge
+class VersionEvaluator
 {
 public:
     /// Takes the sums over all daemons since the trial began. Call it at a regular interval.
-    void take(const std::vector<TrialCount> &sums);
+    void update(const std::vector<TrialCount> &sums);
 
     bool isBad() const { return isBad_; }
     /// Returns whether there are enough answers in total and on each route with a significant share of the
@@ -51,23 +51,23 @@
         uint64_t bad = 0;
     };
     /// Answers of the other versions as decaying sums.
-    struct Usual {
+    struct Baseline {
         double answers = 0;
         double bad = 0;
     };
-    void takeUsual(const std::string &route, const Counts &news);
-    double step(const std::string &route, const std::map<Key, Counts> &news, uint32_t worst) const;
+    void updateBaseline(const std::string &route, const Counts &news);
+    double scoreStep(const std::string &route, const std::map<Key, Counts> &news, uint32_t worst) const;
     uint32_t worstGroup() const;
     Counts targetCounts(const std::string &route) const; ///< Sums over all groups of the target.
 
     std::map<Key, Counts> sums_;
-    std::map<std::string, Usual> usual_;
+    std::map<std::string, Baseline> baselines_;
     std::map<std::string, double> scores_;
-    std::string decidedBy_;
+    std::string decidingRoute_;
     bool isBad_ = false;
 };
 
 /// Adds the figures to the fields of a log event.
-void addFigures(const VersionJudge::Figures &figures, boost::json::object &fields);
+void addFigures(const VersionEvaluator::Figures &figures, boost::json::object &fields);
 
 } // namespace cranberry
--- a/src/gateway/serving.h
+++ b/src/gateway/serving.h
@@ -44,13 +44,13 @@
     uint32_t slots = 64; ///< Maximum number of requests in one batch.
     uint64_t cacheTokens = 0; ///< KV cache size in tokens, for running requests and cached prompt parts.
     uint32_t tokensPerEvent = 1;
-    bool movesRuns = false; ///< Supports migration of a generation's KV cache to another engine.
+    bool migratesGenerations = false; ///< Supports migration of a generation's KV cache to another engine.
 };
 
 /// Bounds for scaling a service's engines in one failure domain.
 struct ScalingBounds {
-    uint32_t least = 0;
-    uint32_t most = 0;
+    uint32_t min = 0;
+    uint32_t max = 0;
     DurationMs bootDelay{5000};
     double reclaimablePrice = 1; ///< Price relative to an on-demand engine; 1: none are offered.
     std::map<FailureDomainName, double> prices;
--- a/src/gateway/sizing/demandmeter.cpp
+++ b/src/gateway/sizing/demandmeter.cpp
@@ -10,14 +10,14 @@
 /// Time constant of the demand means. It is long enough to average out a few large prompts that arrive
 /// together and short compared with an engine's start time. With 2 s, peaks from single prompts kept one or
 /// two extra on-demand engines through a shortage.
-constexpr double MeanSeconds = 4.0;
+constexpr double DemandTimeConstantSeconds = 4.0;
 /// Time constant of the prefill samples: covers some hundred requests of a busy service, so that single
 /// outliers have little weight.
-constexpr double ReadingSeconds = 30.0;
+constexpr double PrefillTimeConstantSeconds = 30.0;
 
 } // namespace
 
-void ReadingSums::add(const ReadingSums &other)
+void PrefillSums::add(const PrefillSums &other)
 {
     count += other.count;
     tokens += other.tokens;
@@ -26,13 +26,13 @@
     tokensMs += other.tokensMs;
 }
 
-void ReadingSums::fade(double part)
+void PrefillSums::decay(double factor)
 {
-    count *= part;
-    tokens *= part;
-    ms *= part;
-    tokensSquared *= part;
-    tokensMs *= part;
+    count *= factor;
+    tokens *= factor;
+    ms *= factor;
+    tokensSquared *= factor;
+    tokensMs *= factor;
 }
 
 void ServiceDemand::add(const ServiceDemand &other)
@@ -43,10 +43,10 @@
     requestsPerSecond += other.requestsPerSecond;
     targetMsPerSecond += other.targetMsPerSecond;
     running += other.running;
-    readings.add(other.readings);
+    prefillSums.add(other.prefillSums);
 }
 
-void DemandMeter::prefill(const ServiceName &service, uint64_t tokens, DurationMs target)
+void DemandMeter::recordRequest(const ServiceName &service, uint64_t tokens, DurationMs target)
 {
     const double count = static_cast<double>(tokens);
     ServiceDemand &sums = pending_[service];
@@ -56,11 +56,11 @@
     sums.targetMsPerSecond += static_cast<double>(target.count);
 }
 
-void DemandMeter::firstEvent(const ServiceName &service, uint64_t tokens, DurationMs took)
+void DemandMeter::recordFirstEvent(const ServiceName &service, uint64_t tokens, DurationMs took)
 {
     const double count = static_cast<double>(tokens);
     const double ms = static_cast<double>(took.count);
-    pending_[service].readings.add({1, count, ms, count * count, count * ms});
+    pending_[service].prefillSums.add({1, count, ms, count * count, count * ms});
 }
 
 void DemandMeter::sample(const std::map<ServiceName, uint32_t> &running, TimeMs now)
@@ -73,19 +73,19 @@
         means_[entry.first].service = entry.first;
     for (const std::pair<const ServiceName, ServiceDemand> &entry : pending_)
         means_[entry.first].service = entry.first;
-    const double weight = std::min(1.0, seconds / MeanSeconds);
-    const auto towards = [&](double &mean, double value) { mean += weight * (value - mean); };
+    const double weight = std::min(1.0, seconds / DemandTimeConstantSeconds);
+    const auto updateMean = [&](double &mean, double value) { mean += weight * (value - mean); };
     for (std::pair<const ServiceName, ServiceDemand> &entry : means_) {
         ServiceDemand &mean = entry.second;
         const ServiceDemand &sums = pending_[entry.first];
         const auto current = running.find(entry.first);
-        towards(mean.prefillTokensPerSecond, sums.prefillTokensPerSecond / seconds);
-        towards(mean.prefillSquaresPerSecond, sums.prefillSquaresPerSecond / seconds);
-        towards(mean.requestsPerSecond, sums.requestsPerSecond / seconds);
-        towards(mean.targetMsPerSecond, sums.targetMsPerSecond / seconds);
-        towards(mean.running, current == running.end() ? 0 : current->second);
-        mean.readings.fade(std::max(0.0, 1 - seconds / ReadingSeconds));
-        mean.readings.add(sums.readings);
+        updateMean(mean.prefillTokensPerSecond, sums.prefillTokensPerSecond / seconds);
+        updateMean(mean.prefillSquaresPerSecond, sums.prefillSquaresPerSecond / seconds);
+        updateMean(mean.requestsPerSecond, sums.requestsPerSecond / seconds);
+        updateMean(mean.targetMsPerSecond, sums.targetMsPerSecond / seconds);
+        updateMean(mean.running, current == running.end() ? 0 : current->second);
+        mean.prefillSums.decay(std::max(0.0, 1 - seconds / PrefillTimeConstantSeconds));
+        mean.prefillSums.add(sums.prefillSums);
     }
     pending_.clear();
 }
@@ -98,10 +98,10 @@
     return out;
 }
 
-ReadingSums DemandMeter::readings(const ServiceName &service) const
+PrefillSums DemandMeter::prefillSums(const ServiceName &service) const
 {
     const auto found = means_.find(service);
-    return found == means_.end() ? ReadingSums{} : found->second.readings;
+    return found == means_.end() ? PrefillSums{} : found->second.prefillSums;
 }
 
 } // namespace cranberry
--- a/src/gateway/sizing/demandmeter.h
+++ b/src/gateway/sizing/demandmeter.h
@@ -12,14 +12,14 @@
 public:
     /// Records a request that is sent and needs a prefill of `tokens`; `target` is its time-to-first-event
     /// target.
-    void prefill(const ServiceName &service, uint64_t tokens, DurationMs target);
+    void recordRequest(const ServiceName &service, uint64_t tokens, DurationMs target);
     /// Records that the first event of a request that found no queue arrived `took` after it was sent.
-    void firstEvent(const ServiceName &service, uint64_t tokens, DurationMs took);
+    void recordFirstEvent(const ServiceName &service, uint64_t tokens, DurationMs took);
     /// Updates the means; call it at a regular interval. `running` has the number of requests per service
     /// that run at an endpoint or wait for one.
     void sample(const std::map<ServiceName, uint32_t> &running, TimeMs now);
     std::vector<ServiceDemand> values() const;
-    ReadingSums readings(const ServiceName &service) const;
+    PrefillSums prefillSums(const ServiceName &service) const;
 
 private:
     std::map<ServiceName, ServiceDemand> pending_; ///< Sums since the last call of `sample`.
--- a/src/gateway/sizing/enginecapacity.cpp
+++ b/src/gateway/sizing/enginecapacity.cpp
@@ -9,84 +9,85 @@
 
 /// Defaults until enough first events have been measured. Alongside their running streams, engines of three
 /// deployments prefilled 36 to 44 tokens per ms on average over a day.
-constexpr double UsualTokensPerMs = 45;
-constexpr double UsualBaseMs = 100;
-constexpr double UsualTokens = 5000; ///< Mean prefill that a new request waits behind.
-constexpr double UsualTargetMs = 600;
+constexpr double DefaultTokensPerMs = 45;
+constexpr double DefaultBaseMs = 100;
+constexpr double DefaultQueuedTokens = 5000; ///< Mean prefill that a new request waits behind.
+constexpr double DefaultTargetMs = 600;
 /// Min samples for the linear fit. Fits through 77 to 173 samples, in windows of 10 s, gave 26 to 43 tokens
 /// per ms for the engines of one deployment.
-constexpr double LeastReadings = 30;
+constexpr double MinPrefillSamples = 30;
 /// A fitted speed outside these bounds is an artefact of prompt parts that were cached without our knowledge,
 /// or of a stalled engine.
-constexpr double SlowestTokensPerMs = 2;
-constexpr double FastestTokensPerMs = 2000;
+constexpr double MinTokensPerMs = 2;
+constexpr double MaxTokensPerMs = 2000;
 /// Max share of requests whose first event is late for lack of engines, by the estimate in `maxUtilization`,
 /// when only the minimum number of engines is left (after a reclaim). The estimate ignores priorities and the
 /// choice of the shortest queue: outside of outages 1 to 3 in 100 requests were late.
-constexpr double LatePart = 0.09;
+constexpr double MaxLateShare = 0.09;
 /// Bounds of the share of an engine's time spent on prefill. After a reclaim the shared prompt parts that
 /// were cached there are prefilled again, which adds a third or more to the usual prefill for some seconds,
 /// whatever the targets are. With a max of 0.75, two deployments with long shared parts and lenient targets
 /// served 1 in 100 requests fewer per day than with 0.6.
-constexpr double LeastUsed = 0.2;
-constexpr double MostUsed = 0.62;
-constexpr double LeastSlackMs = 20;
+constexpr double MinUtilization = 0.2;
+constexpr double MaxUtilization = 0.62;
+constexpr double MinSlackMs = 20;
 constexpr int BisectionSteps = 20; ///< Narrows the range to 2^-20 of its width.
 /// Standard deviations of the batch size kept free as headroom: in about 2 in 100 moments there are more
 /// requests than slots.
-constexpr double SpreadsFree = 2;
+constexpr double HeadroomDeviations = 2;
 
 // Returns the largest share of an engine's time that prefill may use so that few requests wait longer than
 // their slack. The queueing time is taken as exponential, as in a single-server queue: at utilization u and a
 // mean residual prefill of `queuedMs`, the late share is u * exp(-slack * (1 - u) / queuedMs).
-double usedPart(double slackMs, double behindMs)
+double maxUtilization(double slackMs, double queuedMs)
 {
-    double least = LeastUsed;
-    double most = MostUsed;
+    double low = MinUtilization;
+    double high = MaxUtilization;
     for (int i = 0; i < BisectionSteps; ++i) {
-        const double used = (least + most) / 2;
-        const double late = used * std::exp(-slackMs * (1 - used) / behindMs);
-        (late > LatePart ? most : least) = used;
+        const double used = (low + high) / 2;
+        const double lateShare = used * std::exp(-slackMs * (1 - used) / queuedMs);
+        (lateShare > MaxLateShare ? high : low) = used;
     }
-    return least;
+    return low;
 }
 
 // Returns the mean number of running requests for a batch of `slots`. Arrivals are taken as a Poisson
 // process: a mean m with m + k sqrt(m) = slots leaves k standard deviations free.
-double runningMean(double slots)
+double meanConcurrency(double slots)
 {
-    const double root = std::sqrt(SpreadsFree * SpreadsFree / 4 + slots) - SpreadsFree / 2;
+    const double root
+        = std::sqrt(HeadroomDeviations * HeadroomDeviations / 4 + slots) - HeadroomDeviations / 2;
     return std::max(root * root, 1.0);
 }
 
 } // namespace
 
-ReadingSpeed readingSpeed(const ReadingSums &readings)
+PrefillSpeed prefillSpeed(const PrefillSums &readings)
 {
-    const ReadingSpeed usual{UsualTokensPerMs, UsualBaseMs};
-    const double spread = readings.count * readings.tokensSquared - readings.tokens * readings.tokens;
-    const double slope = readings.count * readings.tokensMs - readings.tokens * readings.ms;
-    if (readings.count < LeastReadings || spread <= 0 || slope <= 0)
-        return usual;
-    const double msPerToken = slope / spread;
+    const PrefillSpeed defaults{DefaultTokensPerMs, DefaultBaseMs};
+    const double varianceTerm = readings.count * readings.tokensSquared - readings.tokens * readings.tokens;
+    const double covarianceTerm = readings.count * readings.tokensMs - readings.tokens * readings.ms;
+    if (readings.count < MinPrefillSamples || varianceTerm <= 0 || covarianceTerm <= 0)
+        return defaults;
+    const double msPerToken = covarianceTerm / varianceTerm;
     const double tokensPerMs = 1 / msPerToken;
-    if (tokensPerMs < SlowestTokensPerMs || tokensPerMs > FastestTokensPerMs)
-        return usual;
+    if (tokensPerMs < MinTokensPerMs || tokensPerMs > MaxTokensPerMs)
+        return defaults;
     const double baseMs = (readings.ms - msPerToken * readings.tokens) / readings.count;
     return {tokensPerMs, std::max(baseMs, 0.0)};
 }
 
 EngineCapacity engineCapacity(const EngineFigures &engine, const ServiceDemand &demand)
 {
-    const ReadingSpeed speed = readingSpeed(demand.readings);
+    const PrefillSpeed speed = prefillSpeed(demand.prefillSums);
     const bool isKnown = demand.requestsPerSecond > 0 && demand.prefillTokensPerSecond > 0;
-    const double targetMs = isKnown ? demand.targetMsPerSecond / demand.requestsPerSecond : UsualTargetMs;
+    const double targetMs = isKnown ? demand.targetMsPerSecond / demand.requestsPerSecond : DefaultTargetMs;
     // Mean prefill in progress when a request arrives: large prompts are met more often than small ones.
-    const double behindTokens
-        = isKnown ? demand.prefillSquaresPerSecond / demand.prefillTokensPerSecond / 2 : UsualTokens;
-    const double slackMs = std::max(targetMs - speed.baseMs, LeastSlackMs);
-    const double used = usedPart(slackMs, behindTokens / speed.tokensPerMs);
-    return {speed.tokensPerMs * 1000 * used, runningMean(engine.slots)};
+    const double queuedTokens
+        = isKnown ? demand.prefillSquaresPerSecond / demand.prefillTokensPerSecond / 2 : DefaultQueuedTokens;
+    const double slackMs = std::max(targetMs - speed.baseMs, MinSlackMs);
+    const double used = maxUtilization(slackMs, queuedTokens / speed.tokensPerMs);
+    return {speed.tokensPerMs * 1000 * used, meanConcurrency(engine.slots)};
 }
 
 } // namespace cranberry
--- a/src/gateway/sizing/enginecapacity.h
+++ b/src/gateway/sizing/enginecapacity.h
@@ -12,13 +12,13 @@
 };
 
 /// Prefill speed of an engine, and the fixed part of the time to the first event.
-struct ReadingSpeed {
+struct PrefillSpeed {
     double tokensPerMs = 0;
     double baseMs = 0;
 };
 
 /// Fits a line through the prefill samples; returns defaults while there are too few of them.
-ReadingSpeed readingSpeed(const ReadingSums &readings);
+PrefillSpeed prefillSpeed(const PrefillSums &readings);
 
 /// Computes the capacity from the observed requests and engines of the service and the latency targets of
 /// callers. Uses no network or clock, so that tests can call it directly.
--- a/src/gateway/sizing/engineplan.h
+++ b/src/gateway/sizing/engineplan.h
@@ -18,7 +18,7 @@
 struct DomainStock {
     uint32_t onDemand = 0; ///< Ready and not leaving.
     uint32_t reclaimable = 0;
-    uint32_t coming = 0; ///< Reclaimable engines ordered and accepted, not listed yet.
+    uint32_t pendingReclaimable = 0; ///< Reclaimable engines ordered and accepted, not listed yet.
     bool reclaimableShort = false; ///< The platform recently had no reclaimable engines.
     uint32_t onTrial = 0; ///< On-demand engines of a version being rolled out; not counted above.
     uint32_t barred = 0; ///< On-demand engines of a barred version; not counted above.
@@ -27,11 +27,11 @@
 };
 
 /// Input of `planEngines`.
-struct SizingQuestion {
+struct SizingInput {
     ServiceDemand demand;
     /// Number of engines found when this daemon became leader; a lower bound until the demand has been
     /// observed for a while.
-    uint32_t known = 0;
+    uint32_t knownEngines = 0;
     /// The whole system starts for the first time, so there is no earlier demand to go by.
     bool firstStart = false;
     bool scarce = false; ///< No domain has reclaimable engines available.
@@ -50,7 +50,7 @@
 /// on-demand engines in the cheapest domains make up for the loss of one more domain, and for several times
 /// the usual need once most domains are lost.
 std::vector<DomainPlan> planEngines(const ScalingBounds &bounds, const EngineCapacity &capacity,
-                                    const SizingQuestion &question,
+                                    const SizingInput &input,
                                     const std::map<FailureDomainName, DomainStock> &stock);
 
 } // namespace cranberry
--- a/src/gateway/store/storeera.cpp
+++ b/src/gateway/store/storeera.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 /// Upper bound of how long a leader may still act after its lease expired, considering clocks and delays.
-constexpr DurationMs StandMargin{700};
+constexpr DurationMs CampaignMargin{700};
 /// If nobody writes a configuration again within this time, though peers have seen it, it counts as
 /// withdrawn.
-constexpr DurationMs RewriteTime{30000};
+constexpr DurationMs ConfigurationRestoreTime{30000};
 /// Each daemon requests a lease and writes its entry again. With 890 daemons spread over this time each,
 /// these are 500 writes per second.
-constexpr DurationMs ReturnSpreadEach{4};
+constexpr DurationMs RegistrationJitterPerDaemon{4};
 /// A store that states this era, or none, was never restored from a copy.
 constexpr uint64_t FirstEra = 1;
 
@@ -33,24 +33,24 @@
 {
     uint64_t era = 0;
     const std::from_chars_result read = std::from_chars(text.data(), text.data() + text.size(), era);
-    const bool isWhole = read.ec == std::errc() && read.ptr == text.data() + text.size();
-    return isWhole ? std::optional<uint64_t>(era) : std::nullopt;
+    const bool isComplete = read.ec == std::errc() && read.ptr == text.data() + text.size();
+    return isComplete ? std::optional<uint64_t>(era) : std::nullopt;
 }
 
 // After losing the leadership a daemon does not campaign for a lease's time plus a margin. Otherwise the
 // order of leaders could be A, B, A within one lease.
-DurationMs StoreSync::quietTime() const
+DurationMs StoreSync::campaignPause() const
 {
-    return settings_.leaseTime + StandMargin;
+    return settings_.leaseTime + CampaignMargin;
 }
 
-void StoreSync::judgeEra(StoreReply &reply, TimeMs now)
+void StoreSync::checkEra(StoreReply &reply, TimeMs now)
 {
     if (!reply.era || *reply.era == era_)
         return;
     if (*reply.era > era_)
         return enterEra(*reply.era, now);
-    log_.write(LogWeight::Failure, "store_era_over", {{"era", *reply.era}, {"known", era_}});
+    log_.write(LogPriority::Failure, "store_era_over", {{"era", *reply.era}, {"known", era_}});
     reply = StoreReply{reply.id, StoreOutcome::NoReply, std::nullopt, {}, {}, 0, 0, {}};
 }
 
@@ -65,59 +65,60 @@
 {
     const bool isFirst = era_ == 0;
     const bool held = leadership(now).held;
-    log_.write(LogWeight::State, "store_era", {{"era", era}, {"before", era_}, {"led", held}});
+    log_.write(LogPriority::State, "store_era", {{"era", era}, {"before", era_}, {"led", held}});
     era_ = era;
     if (isFirst)
         return;
-    vouchedFor_ = vouchedFor_ || newestShared_ >= startedAt_;
+    viewConfirmed_ = viewConfirmed_ || newestShared_ >= startedAt_;
     eraSeenAt_ = now;
-    const DurationMs others = ReturnSpreadEach * static_cast<int64_t>(std::max<size_t>(listed_, 1));
+    const DurationMs registrationJitter
+        = RegistrationJitterPerDaemon * static_cast<int64_t>(std::max<size_t>(listed_, 1));
     lease_ = 0;
     registered_ = false;
-    renewAt_ = held ? now : now + spread(others);
-    heldUntil_ = held ? std::optional<TimeMs>(leaseValidUntil_ - LeadershipMargin) : std::nullopt;
+    renewAt_ = held ? now : now + jitter(registrationJitter);
+    reclaimUntil_ = held ? std::optional<TimeMs>(leaseValidUntil_ - LeadershipMargin) : std::nullopt;
     if (held)
-        standAt_ = takeBackAt_ = now;
+        campaignAt_ = reclaimAt_ = now;
     else
-        keepQuiet(now);
+        delayCampaign(now);
     leader_ = {};
     leaderIsSelf_ = false;
-    leaderIsEarlierLife_ = false;
+    leaderIsEarlierIncarnation_ = false;
     quarantineRevision_ = 0;
     storedQuarantine_.clear();
     compareQuarantine();
-    if (readsForAll_ || held) {
+    if (isStoreReader_ || held) {
         sharedAt_ = now;
         endpointsAt_ = now;
     }
 }
 
 // The leader according to data that the store lost may act on its lease until this time is over.
-void StoreSync::keepQuiet(TimeMs now)
+void StoreSync::delayCampaign(TimeMs now)
 {
-    actsFrom_ = now + quietTime();
-    standAt_ = std::max(standAt_, actsFrom_);
-    takeBackAt_ = std::max(takeBackAt_, actsFrom_);
+    mayLeadFrom_ = now + campaignPause();
+    campaignAt_ = std::max(campaignAt_, mayLeadFrom_);
+    reclaimAt_ = std::max(reclaimAt_, mayLeadFrom_);
 }
 
 // A key of an earlier incarnation of this daemon may be outdated, too: another daemon may have won after it.
-void StoreSync::noteFirstView(TimeMs now)
+void StoreSync::onFirstView(TimeMs now)
 {
     firstViewAt_ = now;
     startedUnsettled_ = !settings_.firstStart && !isSettled();
     if (startedUnsettled_)
-        keepQuiet(now);
+        delayCampaign(now);
 }
 
 void StoreSync::tickEra(TimeMs now)
 {
-    if (heldUntil_ && now >= *heldUntil_) {
-        heldUntil_.reset();
+    if (reclaimUntil_ && now >= *reclaimUntil_) {
+        reclaimUntil_.reset();
         // The leader did not win again in time; from now on others may.
         if (!leaderIsSelf_)
-            keepQuiet(now);
+            delayCampaign(now);
     }
-    const bool leads = leadership(now).held || heldUntil_;
+    const bool leads = leadership(now).held || reclaimUntil_;
     if (!leads || ledSince_.count == 0)
         ledSince_ = leads ? now : TimeMs{};
     settleEra(now);
@@ -134,7 +135,7 @@
 
 void StoreSync::settleEra(TimeMs now)
 {
-    const bool isDue = era_ != 0 && sharedEra_ == era_ && settledEra_ != era_ && recordsAreWhole_
+    const bool isDue = era_ != 0 && sharedEra_ == era_ && settledEra_ != era_ && recordsComplete_
         && storedVersion_ >= knownVersion() && leadership(now).held && now >= settleAt_;
     if (!isDue || tooManyOpen(Purpose::Settle))
         return;
@@ -146,12 +147,12 @@
     send(std::move(call), {Purpose::Settle, now, now, {}, 0}, now);
 }
 
-bool StoreSync::isVouchedFor(TimeMs now) const
+bool StoreSync::isViewConfirmed(TimeMs now) const
 {
     const uint64_t version = configuration_ ? configuration_->version : 0;
-    if (version < leastVersion_ && now - startedAt_ < RewriteTime)
+    if (version < minVersion_ && now - startedAt_ < ConfigurationRestoreTime)
         return false;
-    return vouchedFor_ || isSettled() || now - firstViewAt_ > SettleTime;
+    return viewConfirmed_ || isSettled() || now - firstViewAt_ > SettleTime;
 }
 
 } // namespace cranberry
--- a/src/gateway/store/storequarantine.cpp
+++ b/src/gateway/store/storequarantine.cpp
@@ -11,8 +11,8 @@
 
 /// All serving daemons learn of a new quarantine within milliseconds of each other. One writes it; the others
 /// find it in their next read, which comes within 0.6 s, and don't write.
-constexpr DurationMs MostWriteSpread{900};
-constexpr DurationMs ConflictSpread{200};
+constexpr DurationMs MaxWriteJitter{900};
+constexpr DurationMs ConflictJitter{200};
 
 uint64_t digestOfQuarantine(const std::vector<QuarantinedRequest> &list)
 {
@@ -32,7 +32,7 @@
     compareQuarantine();
     quarantineDigest_ = digestOfQuarantine(quarantine_);
     if (!wasDue)
-        quarantineWriteAt_ = std::max(quarantineWriteAt_, now + spread(MostWriteSpread));
+        quarantineWriteAt_ = std::max(quarantineWriteAt_, now + jitter(MaxWriteJitter));
 }
 
 // An entry for which the full list has no room does not count as missing: those that expire first are left
@@ -71,7 +71,7 @@
     }
     if (reply.outcome != StoreOutcome::Conflict)
         return;
-    quarantineWriteAt_ = now + spread(ConflictSpread);
+    quarantineWriteAt_ = now + jitter(ConflictJitter);
     for (const StoreItem &item : reply.items)
         takeQuarantine(item.value, item.revision);
 }
@@ -80,24 +80,24 @@
 // parsed was written by someone else; the next write replaces it.
 void StoreSync::takeQuarantine(const std::string &text, uint64_t revision)
 {
-    const bool isNews = revision == 0 ? quarantineRevision_ != 0 : revision > quarantineRevision_;
-    if (!isNews)
+    const bool isNewer = revision == 0 ? quarantineRevision_ != 0 : revision > quarantineRevision_;
+    if (!isNewer)
         return;
     quarantineRevision_ = revision;
     const std::optional<std::vector<QuarantinedRequest>> list = quarantineFromText(text);
     if (!list && revision != 0)
-        log_.write(LogWeight::Failure, "quarantine_unreadable", {{"revision", revision}});
+        log_.write(LogPriority::Failure, "quarantine_unreadable", {{"revision", revision}});
     storedQuarantine_ = list.value_or(std::vector<QuarantinedRequest>());
     compareQuarantine();
-    news_.quarantine.insert(news_.quarantine.end(), storedQuarantine_.begin(), storedQuarantine_.end());
+    updates_.quarantine.insert(updates_.quarantine.end(), storedQuarantine_.begin(), storedQuarantine_.end());
 }
 
-void StoreSync::takeQuarantineAnswer(const FreshnessAnswer &answer)
+void StoreSync::takeQuarantineReply(const FreshnessReply &reply)
 {
-    if (!answer.hasQuarantine)
+    if (!reply.hasQuarantine)
         return;
-    toldQuarantineDigest_ = answer.quarantineDigest;
-    news_.quarantine.insert(news_.quarantine.end(), answer.quarantine.begin(), answer.quarantine.end());
+    peerQuarantineDigest_ = reply.quarantineDigest;
+    updates_.quarantine.insert(updates_.quarantine.end(), reply.quarantine.begin(), reply.quarantine.end());
 }
 
 } // namespace cranberry
--- a/src/gateway/store/storequeries.cpp
+++ b/src/gateway/store/storequeries.cpp
@@ -10,26 +10,26 @@
 namespace {
 
 /// Interval between queries to a peer. The peer's own view is up to one read interval old when it replies.
-constexpr DurationMs AskPace{300};
+constexpr DurationMs QueryInterval{300};
 /// A standby daemon sends queries less often: only callers with outdated addresses connect to it.
-constexpr DurationMs StandbyAskPace{500};
+constexpr DurationMs StandbyQueryInterval{500};
 /// A view older than this is refreshed by reading the store, whatever the peer replies.
-constexpr DurationMs OldestBorrowed{1300};
-constexpr DurationMs StandbyOldestBorrowed{1800};
+constexpr DurationMs MaxPeerViewAge{1300};
+constexpr DurationMs StandbyMaxPeerViewAge{1800};
 /// A standby daemon reads configuration changes at most this many times within the bound in which they must
 /// be in force: with changes in quick succession, hundreds of daemons would read each one.
 constexpr int64_t StandbyReadsPerBound = 3;
 /// A peer that left more than this many queries in a row unanswered is not queried for `SilentSourcePause`.
-constexpr uint32_t SilentQuestions = 3;
-constexpr DurationMs SilentTime{1000};
+constexpr uint32_t MaxUnansweredQueries = 3;
+constexpr DurationMs SilentSourcePause{1000};
 /// How long unanswered queries to a peer are remembered, so that peers that are gone for good are forgotten.
-constexpr DurationMs UnansweredMemory{60000};
+constexpr DurationMs UnansweredRetention{60000};
 /// Maximum number of members in a reply: more don't fit into a datagram together with the list of endpoints.
 /// They are read from the store instead.
-constexpr size_t MostMembersTold = 120;
+constexpr size_t MaxMembersPerReply = 120;
 /// Maximum number of endpoint entries in one reply: each takes about 90 B, and a datagram holds 60 KB.
-constexpr size_t MostEndpointsTold = 400;
-constexpr size_t MostOpenQuestions = 16;
+constexpr size_t MaxEndpointsPerReply = 400;
+constexpr size_t MaxOpenQueries = 16;
 
 uint64_t digestOfEntries(const std::vector<Address> &entries)
 {
@@ -41,35 +41,35 @@
 
 } // namespace
 
-void StoreSync::ask(TimeMs now)
+void StoreSync::sendQuery(TimeMs now)
 {
-    askAt_ = now + (settings_.self.serving ? AskPace : StandbyAskPace);
-    while (questions_.size() >= MostOpenQuestions)
-        questions_.erase(questions_.begin());
-    questions_[nextQuestion_] = {now, *source_};
+    queryAt_ = now + (settings_.self.serving ? QueryInterval : StandbyQueryInterval);
+    while (openQueries_.size() >= MaxOpenQueries)
+        openQueries_.erase(openQueries_.begin());
+    openQueries_[nextQuery_] = {now, *source_};
     std::erase_if(unanswered_, [now](const std::pair<const Address, Unanswered> &each) {
-        return now - each.second.askedAt > UnansweredMemory;
+        return now - each.second.askedAt > UnansweredRetention;
     });
     Unanswered &unanswered = unanswered_[*source_];
-    ++unanswered.questions;
+    ++unanswered.queries;
     unanswered.askedAt = now;
-    outgoing_.push_back({*source_,
-                         FreshnessQuestion{settings_.self.incarnation, nextQuestion_, era_,
-                                           endpoints_.digest(), sharedDigest_, knownVersion(),
-                                           toldEntriesDigest_, toldQuarantineDigest_, rolloutsDigest_}});
-    ++nextQuestion_;
+    outgoing_.push_back(
+        {*source_,
+         FreshnessQuery{settings_.self.incarnation, nextQuery_, era_, endpoints_.digest(), sharedDigest_,
+                        knownVersion(), peerEntriesDigest_, peerQuarantineDigest_, rolloutsDigest_}});
+    ++nextQuery_;
 }
 
-DurationMs StoreSync::oldestBorrowed() const
+DurationMs StoreSync::maxPeerViewAge() const
 {
-    return settings_.self.serving ? OldestBorrowed : StandbyOldestBorrowed;
+    return settings_.self.serving ? MaxPeerViewAge : StandbyMaxPeerViewAge;
 }
 
 std::set<Address> StoreSync::silentSources(TimeMs now) const
 {
     std::set<Address> out;
     for (const std::pair<const Address, Unanswered> &each : unanswered_) {
-        if (each.second.questions > SilentQuestions && now - each.second.askedAt < SilentTime)
+        if (each.second.queries > MaxUnansweredQueries && now - each.second.askedAt < SilentSourcePause)
             out.insert(each.first);
     }
     return out;
@@ -79,7 +79,7 @@
 {
     if (serving == settings_.self.serving)
         return;
-    log_.write(LogWeight::State, serving ? "serving" : "standing_by", {});
+    log_.write(LogPriority::State, serving ? "serving" : "standing_by", {});
     settings_.self.serving = serving;
     registered_ = false;
 }
@@ -97,154 +97,152 @@
     return sawConfiguration_ && configuration_ ? configuration_->version : 0;
 }
 
-void StoreSync::onQuestion(const FreshnessQuestion &question, const Address &from, TimeMs now)
+void StoreSync::onFreshnessQuery(const FreshnessQuery &query, const Address &from, TimeMs now)
 {
     // A view that is already too old is of no use, since the peer would have to read in any case. A view that
     // merely could not be refreshed just now is still sent: without a reply, all peers would read from a busy
     // store.
-    if (question.era > era_)
-        enterEra(question.era, now);
+    if (query.era > era_)
+        enterEra(query.era, now);
     const TimeMs oldest = std::min(newestShared_, newestEndpoints_);
-    if (!knowsPresentEra() || !isVouchedFor(now))
+    if (!knowsPresentEra() || !isViewConfirmed(now))
         return;
-    if (newestShared_.count == 0 || newestEndpoints_.count == 0 || now - oldest > OldestBorrowed)
+    if (newestShared_.count == 0 || newestEndpoints_.count == 0 || now - oldest > MaxPeerViewAge)
         return;
-    FreshnessAnswer answer;
-    answer.number = question.number;
-    answer.era = era_;
-    answer.sharedAge = now - newestShared_;
-    answer.sharedDigest = sharedDigest_;
-    answer.configurationVersion = knownVersion();
-    if (question.sharedDigest != sharedDigest_
-        && question.configurationVersion == answer.configurationVersion) {
-        answer.members = toldMembers(members_);
-        answer.leader = leader_;
-        answer.listed = listed_;
-        answer.hasMembers = answer.members.size() <= MostMembersTold;
+    FreshnessReply reply;
+    reply.number = query.number;
+    reply.era = era_;
+    reply.sharedAge = now - newestShared_;
+    reply.sharedDigest = sharedDigest_;
+    reply.configurationVersion = knownVersion();
+    if (query.sharedDigest != sharedDigest_ && query.configurationVersion == reply.configurationVersion) {
+        reply.members = advertisedMembers(members_);
+        reply.leader = leader_;
+        reply.listed = listed_;
+        reply.hasMembers = reply.members.size() <= MaxMembersPerReply;
     }
-    answer.endpointsAge = now - newestEndpoints_;
-    answer.endpointsDigest = endpoints_.digest();
-    answer.entriesDigest = entriesDigest_;
-    answer.hasEntries = !entries_.empty() && question.entriesDigest != entriesDigest_;
-    if (answer.hasEntries)
-        answer.entries = entries_;
-    answer.quarantineDigest = quarantineDigest_;
-    answer.hasQuarantine = !quarantine_.empty() && question.quarantineDigest != quarantineDigest_;
-    if (answer.hasQuarantine)
-        answer.quarantine = quarantine_;
-    answer.rolloutsDigest = rolloutsDigest_;
-    if (question.rolloutsDigest != rolloutsDigest_)
-        answer.rollouts = rollouts_.known;
-    if (question.endpointsDigest == endpoints_.digest())
-        outgoing_.push_back({from, std::move(answer)});
+    reply.endpointsAge = now - newestEndpoints_;
+    reply.endpointsDigest = endpoints_.digest();
+    reply.entriesDigest = entriesDigest_;
+    reply.hasEntries = !entries_.empty() && query.entriesDigest != entriesDigest_;
+    if (reply.hasEntries)
+        reply.entries = entries_;
+    reply.quarantineDigest = quarantineDigest_;
+    reply.hasQuarantine = !quarantine_.empty() && query.quarantineDigest != quarantineDigest_;
+    if (reply.hasQuarantine)
+        reply.quarantine = quarantine_;
+    reply.rolloutsDigest = rolloutsDigest_;
+    if (query.rolloutsDigest != rolloutsDigest_)
+        reply.rollouts = rollouts_.known;
+    if (query.endpointsDigest == endpoints_.digest())
+        outgoing_.push_back({from, std::move(reply)});
     else
-        tellEndpoints(question, from, std::move(answer));
+        sendEndpoints(query, from, std::move(reply));
 }
 
 // The time of the reply's view is when the query was sent, less the age that the view had at the replying
 // daemon. So a late reply, also one that waited during a process pause, claims nothing that was not true at
 // that time.
-void StoreSync::onAnswer(const FreshnessAnswer &answer, TimeMs now)
+void StoreSync::onFreshnessReply(const FreshnessReply &reply, TimeMs now)
 {
-    const auto found = questions_.find(answer.number);
-    if (found == questions_.end())
+    const auto found = openQueries_.find(reply.number);
+    if (found == openQueries_.end())
         return;
     const TimeMs askedAt = found->second.sentAt;
     unanswered_.erase(found->second.to);
     const bool isLast
-        = !answer.hasEndpoints || answer.endpointsFrom + answer.endpoints.size() >= answer.endpointsTotal;
+        = !reply.hasEndpoints || reply.endpointsFrom + reply.endpoints.size() >= reply.endpointsTotal;
     if (isLast)
-        questions_.erase(found);
-    if (answer.era > era_)
-        enterEra(answer.era, now);
-    if (answer.era < era_)
+        openQueries_.erase(found);
+    if (reply.era > era_)
+        enterEra(reply.era, now);
+    if (reply.era < era_)
         return; // What it describes is lost.
-    leastVersion_ = std::max(leastVersion_, answer.configurationVersion);
-    vouchedFor_ = vouchedFor_ || knownVersion() >= leastVersion_;
-    takeEntriesAnswer(answer, askedAt);
-    takeQuarantineAnswer(answer);
-    takeRolloutsAnswer(answer, askedAt - answer.sharedAge);
-    takeSharedAnswer(answer, askedAt - answer.sharedAge, now);
-    takeEndpointsAnswer(answer, askedAt - answer.endpointsAge);
+    minVersion_ = std::max(minVersion_, reply.configurationVersion);
+    viewConfirmed_ = viewConfirmed_ || knownVersion() >= minVersion_;
+    takeEntriesReply(reply, askedAt);
+    takeQuarantineReply(reply);
+    takeRolloutsReply(reply, askedAt - reply.sharedAge);
+    takeSharedReply(reply, askedAt - reply.sharedAge, now);
+    takeEndpointsReply(reply, askedAt - reply.endpointsAge);
 }
 
-void StoreSync::takeSharedAnswer(const FreshnessAnswer &answer, TimeMs sharedAt, TimeMs now)
+void StoreSync::takeSharedReply(const FreshnessReply &reply, TimeMs sharedAt, TimeMs now)
 {
-    if (answer.sharedDigest != sharedDigest_) {
+    if (reply.sharedDigest != sharedDigest_) {
         // The views differ: a read of the store shows what changed. If the configuration is the same, it is
         // confirmed nevertheless; otherwise a daemon that the store rejects could not accept keys for long.
         const bool sameConfiguration
-            = configuration_ && answer.configurationVersion == configuration_->version;
+            = configuration_ && reply.configurationVersion == configuration_->version;
         if (sameConfiguration)
-            tellConfiguration(sharedAt, now);
-        if (sameConfiguration && answer.hasMembers && sharedAt > newestShared_) {
+            publishConfiguration(sharedAt, now);
+        if (sameConfiguration && reply.hasMembers && sharedAt > newestShared_) {
             newestShared_ = sharedAt;
-            sharedEra_ = answer.era;
-            sharedDigest_ = answer.sharedDigest;
-            listed_ = answer.listed;
-            takeMembers(answer.members, answer.leader, sharedAt, now);
+            sharedEra_ = reply.era;
+            sharedDigest_ = reply.sharedDigest;
+            listed_ = reply.listed;
+            takeMembers(reply.members, reply.leader, sharedAt, now);
         }
         const bool mayWait = configuration_ && !settings_.self.serving;
-        const DurationMs pace = settings_.configurationBound / StandbyReadsPerBound;
-        const bool isTooSoon = mayWait && now - sharedReadAt_ < pace;
+        const DurationMs interval = settings_.configurationBound / StandbyReadsPerBound;
+        const bool isTooSoon = mayWait && now - sharedReadAt_ < interval;
         if (sharedAt > newestShared_ && !isTooSoon && !tooManyOpen(Purpose::ReadShared))
             readShared(now);
     } else if (sharedAt > newestShared_ && configuration_) {
         newestShared_ = sharedAt;
-        sharedEra_ = answer.era;
-        tellConfiguration(sharedAt, now);
+        sharedEra_ = reply.era;
+        publishConfiguration(sharedAt, now);
     }
 }
 
 // Changes are sent with the reply; a full list is sent in as many replies as needed.
-void StoreSync::tellEndpoints(const FreshnessQuestion &question, const Address &from, FreshnessAnswer answer)
+void StoreSync::sendEndpoints(const FreshnessQuery &query, const Address &from, FreshnessReply reply)
 {
-    answer.endpointChanges = endpoints_.since(question.endpointsDigest);
-    answer.endpointsBase = question.endpointsDigest;
-    if (answer.endpointChanges
-        && answer.endpointChanges->changed.size() + answer.endpointChanges->gone.size()
-            <= MostEndpointsTold) {
-        outgoing_.push_back({from, std::move(answer)});
+    reply.endpointChanges = endpoints_.changesSince(query.endpointsDigest);
+    reply.endpointsBase = query.endpointsDigest;
+    if (reply.endpointChanges
+        && reply.endpointChanges->changed.size() + reply.endpointChanges->gone.size()
+            <= MaxEndpointsPerReply) {
+        outgoing_.push_back({from, std::move(reply)});
         return;
     }
     const std::vector<EndpointEntry> &all = endpoints_.entries();
-    answer.endpointChanges.reset();
-    answer.hasEndpoints = true;
-    answer.endpointsTotal = all.size();
+    reply.endpointChanges.reset();
+    reply.hasEndpoints = true;
+    reply.endpointsTotal = all.size();
     do {
-        const size_t end = std::min(answer.endpointsFrom + MostEndpointsTold, all.size());
-        answer.endpoints.assign(all.begin() + static_cast<std::ptrdiff_t>(answer.endpointsFrom),
-                                all.begin() + static_cast<std::ptrdiff_t>(end));
-        outgoing_.push_back({from, answer});
-        answer.endpointsFrom = end;
-    } while (answer.endpointsFrom < all.size());
+        const size_t end = std::min(reply.endpointsFrom + MaxEndpointsPerReply, all.size());
+        reply.endpoints.assign(all.begin() + static_cast<std::ptrdiff_t>(reply.endpointsFrom),
+                               all.begin() + static_cast<std::ptrdiff_t>(end));
+        outgoing_.push_back({from, reply});
+        reply.endpointsFrom = end;
+    } while (reply.endpointsFrom < all.size());
 }
 
-void StoreSync::takeEndpointsAnswer(const FreshnessAnswer &answer, TimeMs endpointsAt)
+void StoreSync::takeEndpointsReply(const FreshnessReply &reply, TimeMs endpointsAt)
 {
     if (endpointsAt <= newestEndpoints_)
         return;
-    if (answer.hasEndpoints)
-        endpoints_.takePart(answer.endpointsDigest, answer.endpointsFrom, answer.endpointsTotal,
-                            answer.endpoints);
-    else if (answer.endpointChanges)
-        endpoints_.apply(answer.endpointsBase, *answer.endpointChanges);
-    if (answer.endpointsDigest != endpoints_.digest())
+    if (reply.hasEndpoints)
+        endpoints_.addPart(reply.endpointsDigest, reply.endpointsFrom, reply.endpointsTotal, reply.endpoints);
+    else if (reply.endpointChanges)
+        endpoints_.apply(reply.endpointsBase, *reply.endpointChanges);
+    if (reply.endpointsDigest != endpoints_.digest())
         return;
     newestEndpoints_ = endpointsAt;
-    endpointsEra_ = answer.era;
-    news_.endpoints.push_back({endpoints_.entries(), endpointsAt, answer.era});
+    endpointsEra_ = reply.era;
+    updates_.endpoints.push_back({endpoints_.entries(), endpointsAt, reply.era});
 }
 
 // The reply to an earlier query may arrive later; the digest shows whether the list is still the current one.
-void StoreSync::takeEntriesAnswer(const FreshnessAnswer &answer, TimeMs askedAt)
+void StoreSync::takeEntriesReply(const FreshnessReply &reply, TimeMs askedAt)
 {
-    if (answer.hasEntries) {
-        toldEntries_ = answer.entries;
-        toldEntriesDigest_ = answer.entriesDigest;
+    if (reply.hasEntries) {
+        peerEntries_ = reply.entries;
+        peerEntriesDigest_ = reply.entriesDigest;
     }
-    if (!toldEntries_.empty() && answer.entriesDigest == toldEntriesDigest_)
-        news_.entries = EntriesTold{toldEntries_, askedAt};
+    if (!peerEntries_.empty() && reply.entriesDigest == peerEntriesDigest_)
+        updates_.entries = EntriesFromPeer{peerEntries_, askedAt};
 }
 
 } // namespace cranberry
--- a/src/gateway/store/storerollouts.cpp
+++ b/src/gateway/store/storerollouts.cpp
@@ -37,7 +37,7 @@
         if (const std::optional<RolloutRecord> record = recordFromText(service, item.value))
             read.records[service] = *record;
         else
-            log_.write(LogWeight::Failure, "rollout_record_unreadable",
+            log_.write(LogPriority::Failure, "rollout_record_unreadable",
                        {{"key", item.key}, {"revision", item.revision}});
     }
     mergeRollouts(read, open.readStartedAt);
@@ -52,14 +52,14 @@
         if (found == merged.records.end())
             merged.records.insert(known);
         else
-            found->second = furtherRecord(found->second, known.second);
+            found->second = mergeRecords(found->second, known.second);
     }
     rollouts_.known = std::move(merged);
     rolloutsDigest_ = digestOfRollouts(rollouts_.known);
-    news_.rollouts = RolloutsRead{rollouts_.known, readAt};
+    updates_.rollouts = RolloutsRead{rollouts_.known, readAt};
 }
 
-void StoreSync::noteRolloutRecord(const RolloutRecord &record, uint64_t revision)
+void StoreSync::onRolloutRecordStored(const RolloutRecord &record, uint64_t revision)
 {
     rollouts_.stored[record.service] = {recordText(record), revision};
     RolloutsKnown read = rollouts_.known;
@@ -69,17 +69,17 @@
 
 const StoreSync::Rollouts &StoreSync::rollouts(TimeMs now)
 {
-    const bool hasJustRisen = eraSeenAt_.count != 0 && now - eraSeenAt_ < SettleTime;
-    rollouts_.mayBeOlder = hasJustRisen || (startedUnsettled_ && now - firstViewAt_ < SettleTime);
+    const bool hasJustIncreased = eraSeenAt_.count != 0 && now - eraSeenAt_ < SettleTime;
+    rollouts_.mayBeStale = hasJustIncreased || (startedUnsettled_ && now - firstViewAt_ < SettleTime);
     return rollouts_;
 }
 
-void StoreSync::takeRolloutsAnswer(const FreshnessAnswer &answer, TimeMs sharedAt)
+void StoreSync::takeRolloutsReply(const FreshnessReply &reply, TimeMs sharedAt)
 {
-    if (answer.rollouts && answer.rollouts->era >= rollouts_.known.era)
-        mergeRollouts(*answer.rollouts, sharedAt);
-    else if (answer.rolloutsDigest == rolloutsDigest_)
-        news_.rollouts = RolloutsRead{rollouts_.known, sharedAt};
+    if (reply.rollouts && reply.rollouts->era >= rollouts_.known.era)
+        mergeRollouts(*reply.rollouts, sharedAt);
+    else if (reply.rolloutsDigest == rolloutsDigest_)
+        updates_.rollouts = RolloutsRead{rollouts_.known, sharedAt};
 }
 
 } // namespace cranberry
