--- a/src/gateway/store/storesync.cpp
+++ b/src/gateway/store/storesync.cpp
@@ -17,32 +17,32 @@
 
 /// Interval between reads of the configuration. A change must be in force within two seconds of its
 /// acknowledgement, so two reads in a row may fail.
-constexpr DurationMs SharedPace{600};
+constexpr DurationMs SharedReadInterval{600};
 /// Interval between reads of the endpoints. An endpoint that reports that it is leaving must get no new work
 /// after two seconds.
-constexpr DurationMs EndpointsPace{500};
+constexpr DurationMs EndpointsReadInterval{500};
 /// After this many failed reads in a row, or while a read has been open for `SlowReadTime`, a daemon queries
 /// peers, even if it is a store reader. It keeps trying to read, at intervals longer by `FailingReadSlowdown`
 /// while peers keep its view fresh.
-constexpr uint32_t ReadsFailing = 2;
-constexpr DurationMs SlowRead{1100};
-constexpr int64_t SlowerWhileFailing = 3;
+constexpr uint32_t MaxFailedReads = 2;
+constexpr DurationMs SlowReadTime{1100};
+constexpr int64_t FailingReadSlowdown = 3;
 /// A read that takes longer than this indicates a busy store. Each further one doubles the read interval of a
 /// daemon that is no store reader, `MaxReadDoublings` times at most: even without replies from peers, a view
 /// must stay younger than the bound for removed keys. 295 daemons then read the configuration 120 times a
 /// second (calculated); a store whose link takes 3 ms to send a list of 300 KB serves 300 reads a second.
-constexpr DurationMs BusyRead{500};
-constexpr uint32_t MostReadDoublings = 2;
+constexpr DurationMs BusyReadTime{500};
+constexpr uint32_t MaxReadDoublings = 2;
 /// A read that takes longer than this counts as lost; the slowest store that still replies is faster.
 constexpr DurationMs ReadTimeout{2500};
 /// Maximum number of open reads of one kind: they overlap while the store is slow, but must not pile up.
-constexpr size_t MostOverlappingReads = 4;
+constexpr size_t MaxOverlappingReads = 4;
 /// The lease is renewed at a third of its time, so two renewals may be lost.
 constexpr int64_t RenewalsPerLease = 3;
-constexpr DurationMs StandSpread{400}; ///< Keeps the daemons from campaigning at the same moment.
+constexpr DurationMs CampaignJitter{400}; ///< Keeps the daemons from campaigning at the same moment.
 /// Serving daemons receive the counts that are to be reported. A standby daemon campaigns this much later,
 /// thus only if no serving daemon does.
-constexpr DurationMs StandbyStandsLater{2000};
+constexpr DurationMs StandbyCampaignDelay{2000};
 
 constexpr const char *MemberPrefix = "members/";
 /// A fencing token is the revision that won, preceded by the era: revisions alone decrease when the store is
@@ -67,9 +67,9 @@
 
 bool StoreSync::readsFail(TimeMs now) const
 {
-    return failedReads_ >= ReadsFailing
+    return failedReads_ >= MaxFailedReads
         || std::any_of(open_.begin(), open_.end(), [now](const std::pair<const uint64_t, OpenCall> &entry) {
-               return isRead(entry.second.purpose) && now - entry.second.sentAt > SlowRead;
+               return isRead(entry.second.purpose) && now - entry.second.sentAt > SlowReadTime;
            });
 }
 
@@ -78,7 +78,7 @@
     size_t count = 0;
     for (const std::pair<const uint64_t, OpenCall> &entry : open_)
         count += entry.second.purpose == purpose ? 1 : 0;
-    return count >= (isRead(purpose) && readsForAll_ ? MostOverlappingReads : 1);
+    return count >= (isRead(purpose) && isStoreReader_ ? MaxOverlappingReads : 1);
 }
 
 void StoreSync::readSpace(StoreSpace space, OpenCall open, const std::string &after, TimeMs now)
@@ -97,36 +97,36 @@
     readSpace(StoreSpace::Shared, {Purpose::ReadShared, now, now, {}, 0}, "", now);
 }
 
-void StoreSync::noteReadTime(const OpenCall &open, bool done, TimeMs now)
+void StoreSync::recordReadTime(const OpenCall &open, bool done, TimeMs now)
 {
-    const bool wasSlow = !done || now - open.sentAt > BusyRead;
-    slowReads_ = wasSlow ? std::min(slowReads_ + 1, MostReadDoublings) : 0;
+    const bool wasSlow = !done || now - open.sentAt > BusyReadTime;
+    slowReads_ = wasSlow ? std::min(slowReads_ + 1, MaxReadDoublings) : 0;
     if (wasSlow)
         return;
     // The intervals were chosen before this read showed that the store is fast again.
-    sharedAt_ = std::min(sharedAt_, open.sentAt + SharedPace);
-    endpointsAt_ = std::min(endpointsAt_, open.sentAt + EndpointsPace);
+    sharedAt_ = std::min(sharedAt_, open.sentAt + SharedReadInterval);
+    endpointsAt_ = std::min(endpointsAt_, open.sentAt + EndpointsReadInterval);
 }
 
-DurationMs StoreSync::spread(DurationMs most)
+DurationMs StoreSync::jitter(DurationMs limit)
 {
-    return {static_cast<int64_t>(random_.below(static_cast<uint64_t>(most.count)))};
+    return {static_cast<int64_t>(random_.below(static_cast<uint64_t>(limit.count)))};
 }
 
 // All daemons find the store busy at the same moment, so their next reads are spread by jitter.
-DurationMs StoreSync::readPause(DurationMs pace)
+DurationMs StoreSync::readPause(DurationMs interval)
 {
-    if (readsForAll_ || slowReads_ == 0)
-        return pace;
-    const DurationMs most = pace * (int64_t{1} << slowReads_);
-    return most / 2 + spread(most);
+    if (isStoreReader_ || slowReads_ == 0)
+        return interval;
+    const DurationMs maxPause = interval * (int64_t{1} << slowReads_);
+    return maxPause / 2 + jitter(maxPause);
 }
 
 // A daemon that becomes a store reader must not keep the longer interval that it chose while another one read
 // for it. After a store outage its own entry lapses, and for a moment it does not count as a reader.
-void StoreSync::setReadsForAll(bool readsForAll, TimeMs now)
+void StoreSync::setStoreReader(bool isReader, TimeMs now)
 {
-    if (std::exchange(readsForAll_, readsForAll) == readsForAll || !readsForAll)
+    if (std::exchange(isStoreReader_, isReader) == isReader || !isReader)
         return;
     slowReads_ = 0;
     sharedAt_ = std::min(sharedAt_, now);
@@ -140,24 +140,24 @@
         startedAt_ = now;
         // An earlier incarnation of this daemon may have led until just now: waits until its lease has
         // expired.
-        standAt_ = settings_.firstStart ? now : now + quietTime();
-        vouchedFor_ = settings_.firstStart;
+        campaignAt_ = settings_.firstStart ? now : now + campaignPause();
+        viewConfirmed_ = settings_.firstStart;
     }
     tickEra(now);
-    if (source_ && now >= askAt_)
-        ask(now);
+    if (source_ && now >= queryAt_)
+        sendQuery(now);
     const bool failing = readsFail(now);
-    const DurationMs oldest = oldestBorrowed();
+    const DurationMs oldest = maxPeerViewAge();
     const bool fresh = now - std::min(newestShared_, newestEndpoints_) < oldest;
-    const int64_t slower = failing && fresh ? SlowerWhileFailing : 1;
+    const int64_t slower = failing && fresh ? FailingReadSlowdown : 1;
     const bool sharedIsOld = !source_ || failing || now - newestShared_ > oldest;
     const bool endpointsAreOld = !source_ || failing || now - newestEndpoints_ > oldest;
     if (now >= sharedAt_ && sharedIsOld && !tooManyOpen(Purpose::ReadShared)) {
-        sharedAt_ = now + std::max(SharedPace * slower, readPause(SharedPace));
+        sharedAt_ = now + std::max(SharedReadInterval * slower, readPause(SharedReadInterval));
         readShared(now);
     }
     if (now >= endpointsAt_ && endpointsAreOld && !tooManyOpen(Purpose::ReadEndpoints)) {
-        endpointsAt_ = now + std::max(EndpointsPace * slower, readPause(EndpointsPace));
+        endpointsAt_ = now + std::max(EndpointsReadInterval * slower, readPause(EndpointsReadInterval));
         readSpace(StoreSpace::Endpoints, {Purpose::ReadEndpoints, now, now, {}, 0}, "", now);
     }
     if (leaving_)
@@ -177,16 +177,18 @@
     if (now >= quarantineWriteAt_ && knowsShared && storeLacksQuarantine_
         && !tooManyOpen(Purpose::Quarantine))
         writeQuarantine(now);
-    if (lease_ != 0 && mayStand(now) && knowsShared && !tooManyOpen(Purpose::Stand) && now < leaseValidUntil_)
-        stand(now);
+    if (lease_ != 0 && mayCampaign(now) && knowsShared && !tooManyOpen(Purpose::Campaign)
+        && now < leaseValidUntil_)
+        campaign(now);
 }
 
-bool StoreSync::mayStand(TimeMs now) const
+bool StoreSync::mayCampaign(TimeMs now) const
 {
-    if (heldUntil_)
-        return !leaderIsSelf_ && now >= standAt_;
-    const DurationMs later = settings_.self.serving ? DurationMs{0} : StandbyStandsLater;
-    return leader_.revision == 0 ? now >= standAt_ + later : leaderIsEarlierLife_ && now >= takeBackAt_;
+    if (reclaimUntil_)
+        return !leaderIsSelf_ && now >= campaignAt_;
+    const DurationMs delay = settings_.self.serving ? DurationMs{0} : StandbyCampaignDelay;
+    return leader_.revision == 0 ? now >= campaignAt_ + delay
+                                 : leaderIsEarlierIncarnation_ && now >= reclaimAt_;
 }
 
 void StoreSync::registerSelf(TimeMs now)
@@ -209,9 +211,9 @@
 
 // An instance runs one daemon at a time, so a key with its name and another incarnation belongs to a process
 // that has exited.
-bool StoreSync::isEarlierLife(const std::string &leaderValue) const
+bool StoreSync::isEarlierIncarnation(const std::string &leaderValue) const
 {
-    return holderOf({leaderValue, 1, 0}) == settings_.self.instance && leaderValue != ownLeaderValue();
+    return leaderInstance({leaderValue, 1, 0}) == settings_.self.instance && leaderValue != ownLeaderValue();
 }
 
 // The condition of the write lets only one daemon win. The revision of the write is the fencing token:
@@ -220,34 +222,34 @@
 // A leader that was killed and restarted finds its own key while its old lease is valid. Its earlier
 // incarnation has exited, and nobody else can have won while the key exists, so it replaces the key without
 // waiting. Otherwise leader tasks would pause for a full lease when all daemons are killed at once.
-void StoreSync::stand(TimeMs now)
+void StoreSync::campaign(TimeMs now)
 {
-    takeBackAt_ = now + RetryPause;
-    standAt_ = now + RetryPause + spread(StandSpread);
+    reclaimAt_ = now + RetryPause;
+    campaignAt_ = now + RetryPause + jitter(CampaignJitter);
     StoreCall call;
     call.verb = StoreVerb::Write;
     call.conditions.push_back({StoreSpace::Shared, LeaderKey, leader_.revision});
     call.puts.push_back({StoreSpace::Shared, LeaderKey, ownLeaderValue(), lease_});
     call.timeout = WriteTimeout;
-    send(std::move(call), {Purpose::Stand, now, now, {}, lease_}, now);
+    send(std::move(call), {Purpose::Campaign, now, now, {}, lease_}, now);
 }
 
 // ---- Replies ----
 
-void StoreSync::noteStoreState(bool answered, TimeMs now)
+void StoreSync::recordStoreState(bool answered, TimeMs now)
 {
-    if (answered == storeAnswers_)
+    if (answered == storeAvailable_)
         return;
     if (!answered && now - newestShared_ < ReadTimeout)
         return;
-    storeAnswers_ = answered;
-    log_.write(LogWeight::State, answered ? "store_regained" : "store_lost",
+    storeAvailable_ = answered;
+    log_.write(LogPriority::State, answered ? "store_regained" : "store_lost",
                {{"newest_read_age_ms", newestShared_.count == 0 ? 0 : (now - newestShared_).count}});
 }
 
 void StoreSync::onReply(StoreReply reply, TimeMs now)
 {
-    judgeEra(reply, now);
+    checkEra(reply, now);
     const auto found = open_.find(reply.id);
     if (found == open_.end())
         return;
@@ -256,9 +258,9 @@
     switch (open.purpose) {
     case Purpose::ReadShared:
     case Purpose::ReadEndpoints:
-        noteStoreState(reply.outcome == StoreOutcome::Done, now);
+        recordStoreState(reply.outcome == StoreOutcome::Done, now);
         failedReads_ = reply.outcome == StoreOutcome::Done ? 0 : failedReads_ + 1;
-        noteReadTime(open, reply.outcome == StoreOutcome::Done, now);
+        recordReadTime(open, reply.outcome == StoreOutcome::Done, now);
         return onRead(open, reply, now);
     case Purpose::Grant:
     case Purpose::Renew:
@@ -270,13 +272,14 @@
         if (reply.outcome == StoreOutcome::NotFound && open.lease == lease_)
             loseLease(now, "register");
         return;
-    case Purpose::Stand:
+    case Purpose::Campaign:
         // A lost or rejected attempt shows in the next read; only a win is handled here.
         if (reply.outcome == StoreOutcome::Done && open.lease == lease_) {
             leader_ = {ownLeaderValue(), reply.revision, lease_, era_};
             leaderIsSelf_ = true;
-            leaderIsEarlierLife_ = false;
-            log_.write(LogWeight::State, "leadership_won", {{"fencing_token", leadership(now).fencingToken}});
+            leaderIsEarlierIncarnation_ = false;
+            log_.write(LogPriority::State, "leadership_won",
+                       {{"fencing_token", leadership(now).fencingToken}});
         }
         return;
     case Purpose::Quarantine:
@@ -339,18 +342,19 @@
             if (member)
                 members.push_back(std::move(*member));
             else
-                log_.write(LogWeight::Failure, "member_unreadable", {{"key", item.key}});
+                log_.write(LogPriority::Failure, "member_unreadable", {{"key", item.key}});
         }
     }
     takeRollouts(open);
     if (sawConfiguration != sawConfiguration_)
-        log_.write(LogWeight::State, sawConfiguration ? "configuration_there" : "configuration_missing", {});
+        log_.write(LogPriority::State, sawConfiguration ? "configuration_there" : "configuration_missing",
+                   {});
     sawConfiguration_ = sawConfiguration;
     if (isFirst)
-        noteFirstView(now);
+        onFirstView(now);
     if (sawConfiguration)
-        tellConfiguration(open.readStartedAt, now);
-    sharedDigest_ = digestOfShared(knownVersion(), members, leader);
+        publishConfiguration(open.readStartedAt, now);
+    sharedDigest_ = sharedStateDigest(knownVersion(), members, leader);
     listed_ = members.size();
     takeMembers(std::move(members), leader, open.readStartedAt, now);
 }
@@ -360,31 +364,31 @@
 {
     members_ = members;
     checkOwnEntry(askedAt);
-    news_.members = std::move(members);
-    news_.listed = listed_;
-    news_.dutyHolder = holderOf(leader);
+    updates_.members = std::move(members);
+    updates_.listed = listed_;
+    updates_.leader = leaderInstance(leader);
     // A read that was sent before the own win can't show it.
     const bool staleView = leaderIsSelf_ && leader.era == leader_.era && leader.revision < leader_.revision;
     if (staleView && lease_ == leader_.lease && askedAt + WriteTimeout > now)
         return;
     const bool isSelf = leader.revision != 0 && leader.value == ownLeaderValue() && leader.lease == lease_;
     if (leaderIsSelf_ && !isSelf) {
-        log_.write(LogWeight::State, "leadership_lost",
+        log_.write(LogPriority::State, "leadership_lost",
                    {{"why", "another entry"}, {"revision", leader.revision}});
-        standAt_ = now + quietTime();
+        campaignAt_ = now + campaignPause();
     }
     const bool wins = isSelf && !leaderIsSelf_;
     leader_ = leader;
     leaderIsSelf_ = isSelf;
-    leaderIsEarlierLife_ = isEarlierLife(leader.value);
+    leaderIsEarlierIncarnation_ = isEarlierIncarnation(leader.value);
     if (wins)
-        log_.write(LogWeight::State, "leadership_won", {{"fencing_token", leadership(now).fencingToken}});
+        log_.write(LogPriority::State, "leadership_won", {{"fencing_token", leadership(now).fencingToken}});
 }
 
-void StoreSync::tellConfiguration(TimeMs askedAt, TimeMs now)
+void StoreSync::publishConfiguration(TimeMs askedAt, TimeMs now)
 {
-    if (configuration_ && isVouchedFor(now))
-        news_.configurations.push_back({configuration_, askedAt});
+    if (configuration_ && isViewConfirmed(now))
+        updates_.configurations.push_back({configuration_, askedAt});
 }
 
 // A write that timed out may be executed later than the write that followed it. The peers would then not
@@ -409,7 +413,7 @@
     }
     endpoints_.replace(std::move(entries));
     endpointsEra_ = open.era;
-    news_.endpoints.push_back({endpoints_.entries(), open.readStartedAt, open.era});
+    updates_.endpoints.push_back({endpoints_.entries(), open.readStartedAt, open.era});
 }
 
 void StoreSync::onLeaseReply(const OpenCall &open, const StoreReply &reply, TimeMs now)
@@ -431,9 +435,9 @@
 
 void StoreSync::loseLease(TimeMs now, const char *why)
 {
-    log_.write(LogWeight::State, "lease_lost", {{"why", why}, {"led", leaderIsSelf_}});
+    log_.write(LogPriority::State, "lease_lost", {{"why", why}, {"led", leaderIsSelf_}});
     if (leaderIsSelf_)
-        standAt_ = now + quietTime();
+        campaignAt_ = now + campaignPause();
     lease_ = 0;
     registered_ = false;
     leaderIsSelf_ = false;
@@ -448,9 +452,9 @@
     Leadership out;
     out.validUntil = leaseValidUntil_ - LeadershipMargin;
     out.fencingToken = (leader_.era << RevisionBits) + leader_.revision;
-    out.held
-        = !leaving_ && leaderIsSelf_ && leader_.lease == lease_ && now < out.validUntil && now >= actsFrom_;
-    out.stands = {StoreSpace::Shared, LeaderKey, leader_.revision};
+    out.held = !leaving_ && leaderIsSelf_ && leader_.lease == lease_ && now < out.validUntil
+        && now >= mayLeadFrom_;
+    out.leaderCondition = {StoreSpace::Shared, LeaderKey, leader_.revision};
     // What it wrote itself since it became leader, it writes again.
     const bool ledThroughEra = ledSince_.count != 0 && ledSince_ < eraSeenAt_;
     if (startedUnsettled_)
--- a/src/gateway/store/storesync.h
+++ b/src/gateway/store/storesync.h
@@ -29,7 +29,7 @@
     TimeMs recordsLostBefore;
     /// Condition that holds in the store until another daemon wins. It keeps calls that are executed late,
     /// perhaps in another era, from writing records.
-    StoreCondition stands;
+    StoreCondition leaderCondition;
 };
 
 struct StoreSyncSettings {
@@ -56,13 +56,13 @@
     StoreSync(const StoreSyncSettings &settings, DecisionLog &log);
 
     /// What was learned since the last call.
-    struct News {
+    struct Updates {
         std::vector<ConfigurationRead> configurations;
         std::vector<EndpointsRead> endpoints;
         std::optional<std::vector<MemberEntry>> members;
         size_t listed = 0; ///< With `members`: total number of daemons, of which these may be a part.
-        InstanceName dutyHolder; ///< With `members`; empty: there is no leader.
-        std::optional<EntriesTold> entries;
+        InstanceName leader; ///< With `members`; empty: there is no leader.
+        std::optional<EntriesFromPeer> entries;
         std::vector<QuarantinedRequest> quarantine; ///< From the store or from a peer's reply.
         std::optional<RolloutsRead> rollouts;
     };
@@ -76,27 +76,27 @@
         };
         std::map<ServiceName, Stored> stored; ///< Records, by service.
         /// The store was just restored from an older copy: orders may be missing or outdated.
-        bool mayBeOlder = false;
+        bool mayBeStale = false;
     };
     const Rollouts &rollouts(TimeMs now);
     /// Must be called when this daemon has stored a record.
-    void noteRolloutRecord(const RolloutRecord &record, uint64_t revision);
+    void onRolloutRecordStored(const RolloutRecord &record, uint64_t revision);
 
     void tick(TimeMs now);
     void onReply(StoreReply reply, TimeMs now);
     /// Must be called for each reply of the store, also to calls of other parts, before the reply is used.
     /// Invalidates a reply of an earlier era: what it found or wrote is lost.
-    void judgeEra(StoreReply &reply, TimeMs now);
+    void checkEra(StoreReply &reply, TimeMs now);
     /// Whether this daemon is the leader and has written again the records that the store lacked.
-    void setRecordsWhole(bool whole) { recordsAreWhole_ = whole; }
+    void setRecordsComplete(bool complete) { recordsComplete_ = complete; }
     /// This daemon's view is not older than what its peers have seen, as far as there are peers to confirm
     /// it.
-    bool isVouchedFor(TimeMs now) const;
+    bool isViewConfirmed(TimeMs now) const;
     /// Sets the daemon to query instead of reading; nothing: this daemon reads itself.
     void setSource(const std::optional<Address> &source) { source_ = source; }
     /// Sets whether this daemon is a store reader. Readers keep their read interval whatever the store does.
     /// The others, which may be hundreds, read less often while it is slow.
-    void setReadsForAll(bool readsForAll, TimeMs now);
+    void setStoreReader(bool isReader, TimeMs now);
     /// Daemons that did not reply to the last queries. After a while they are tried again.
     std::set<Address> silentSources(TimeMs now) const;
     /// Sets whether this daemon's own entry lists it as serving.
@@ -108,18 +108,18 @@
     void setQuarantine(const std::vector<QuarantinedRequest> &list, TimeMs now);
     /// This daemon's own reads fail, though those of others may succeed.
     bool readsFail(TimeMs now) const;
-    void onQuestion(const FreshnessQuestion &question, const Address &from, TimeMs now);
-    void onAnswer(const FreshnessAnswer &answer, TimeMs now);
+    void onFreshnessQuery(const FreshnessQuery &query, const Address &from, TimeMs now);
+    void onFreshnessReply(const FreshnessReply &reply, TimeMs now);
 
     /// A query or reply to be sent to a peer.
     struct Outgoing {
         Address to;
-        std::variant<FreshnessQuestion, FreshnessAnswer> message;
+        std::variant<FreshnessQuery, FreshnessReply> message;
     };
     std::vector<Outgoing> takeOutgoing() { return std::exchange(outgoing_, {}); }
 
     std::vector<StoreCall> takeCalls() { return std::exchange(calls_, {}); }
-    News takeNews() { return std::exchange(news_, {}); }
+    Updates takeUpdates() { return std::exchange(updates_, {}); }
 
     Leadership leadership(TimeMs now) const;
     /// Ends this daemon's lease before the process exits.
@@ -143,7 +143,7 @@
         Grant,
         Renew,
         Register,
-        Stand,
+        Campaign,
         Leave,
         Quarantine,
         Settle
@@ -164,58 +164,58 @@
     }
     void send(StoreCall call, OpenCall open, TimeMs now);
     void readShared(TimeMs now);
-    void noteReadTime(const OpenCall &open, bool done, TimeMs now);
-    DurationMs readPause(DurationMs pace);
+    void recordReadTime(const OpenCall &open, bool done, TimeMs now);
+    DurationMs readPause(DurationMs interval);
     void readSpace(StoreSpace space, OpenCall open, const std::string &after, TimeMs now);
     bool tooManyOpen(Purpose purpose) const;
     void onRead(OpenCall &open, const StoreReply &reply, TimeMs now);
     void takeShared(const OpenCall &open, TimeMs now);
     void takeMembers(std::vector<MemberEntry> members, const LeaderEntry &leader, TimeMs askedAt, TimeMs now);
-    void takeSharedAnswer(const FreshnessAnswer &answer, TimeMs sharedAt, TimeMs now);
-    void tellEndpoints(const FreshnessQuestion &question, const Address &from, FreshnessAnswer answer);
-    void takeEndpointsAnswer(const FreshnessAnswer &answer, TimeMs endpointsAt);
-    void takeEntriesAnswer(const FreshnessAnswer &answer, TimeMs askedAt);
+    void takeSharedReply(const FreshnessReply &reply, TimeMs sharedAt, TimeMs now);
+    void sendEndpoints(const FreshnessQuery &query, const Address &from, FreshnessReply reply);
+    void takeEndpointsReply(const FreshnessReply &reply, TimeMs endpointsAt);
+    void takeEntriesReply(const FreshnessReply &reply, TimeMs askedAt);
     // Requests in quarantine (storequarantine.cpp).
     void takeQuarantine(const std::string &text, uint64_t revision);
-    void takeQuarantineAnswer(const FreshnessAnswer &answer);
+    void takeQuarantineReply(const FreshnessReply &reply);
     void compareQuarantine();
     void writeQuarantine(TimeMs now);
     void onQuarantineReply(const StoreReply &reply, TimeMs now);
     // Roll-outs (storerollouts.cpp).
     void takeRollouts(const OpenCall &open);
     void mergeRollouts(const RolloutsKnown &read, TimeMs readAt);
-    void takeRolloutsAnswer(const FreshnessAnswer &answer, TimeMs sharedAt);
-    DurationMs spread(DurationMs most); ///< Returns a random duration below `most`.
-    DurationMs oldestBorrowed() const;
+    void takeRolloutsReply(const FreshnessReply &reply, TimeMs sharedAt);
+    DurationMs jitter(DurationMs limit); ///< Returns a random duration below `most`.
+    DurationMs maxPeerViewAge() const;
     void checkOwnEntry(TimeMs askedAt);
     uint64_t knownVersion() const; ///< Version of the configuration; 0: none.
     void takeEndpoints(const OpenCall &open);
     void onLeaseReply(const OpenCall &open, const StoreReply &reply, TimeMs now);
     void loseLease(TimeMs now, const char *why);
     void registerSelf(TimeMs now);
-    void stand(TimeMs now);
-    void ask(TimeMs now);
-    void noteStoreState(bool answered, TimeMs now);
+    void campaign(TimeMs now);
+    void sendQuery(TimeMs now);
+    void recordStoreState(bool answered, TimeMs now);
     std::string ownLeaderValue() const;
-    bool isEarlierLife(const std::string &leaderValue) const;
-    bool mayStand(TimeMs now) const;
-    void tellConfiguration(TimeMs askedAt, TimeMs now);
+    bool isEarlierIncarnation(const std::string &leaderValue) const;
+    bool mayCampaign(TimeMs now) const;
+    void publishConfiguration(TimeMs askedAt, TimeMs now);
     // A store restored from an older copy (storeera.cpp).
     void enterEra(uint64_t era, TimeMs now);
-    void noteFirstView(TimeMs now);
-    void keepQuiet(TimeMs now);
+    void onFirstView(TimeMs now);
+    void delayCampaign(TimeMs now);
     void tickEra(TimeMs now);
     bool isSettled() const;
     void settleEra(TimeMs now);
     bool knowsPresentEra() const { return sharedEra_ == era_ && endpointsEra_ == era_; }
-    DurationMs quietTime() const;
+    DurationMs campaignPause() const;
 
     StoreSyncSettings settings_;
     DecisionLog &log_;
     Random random_;
     std::map<uint64_t, OpenCall> open_;
     std::vector<StoreCall> calls_;
-    News news_;
+    Updates updates_;
     uint64_t nextCall_ = 1;
 
     TimeMs startedAt_;
@@ -224,33 +224,33 @@
     TimeMs sharedAt_; ///< Next read.
     TimeMs endpointsAt_;
     uint32_t failedReads_ = 0; ///< In a row.
-    bool readsForAll_ = true;
+    bool isStoreReader_ = true;
     uint32_t slowReads_ = 0; ///< In a row, failed ones included.
     TimeMs newestShared_; ///< The view was current in the store at or after this time.
     TimeMs newestEndpoints_;
-    bool storeAnswers_ = false;
+    bool storeAvailable_ = false;
     bool sawConfiguration_ = true; ///< The newest read found one; a missing configuration is logged.
 
     std::optional<Address> source_;
-    TimeMs askAt_;
-    struct OpenQuestion {
+    TimeMs queryAt_;
+    struct OpenQuery {
         TimeMs sentAt;
         Address to;
     };
-    std::map<uint64_t, OpenQuestion> questions_;
-    uint64_t nextQuestion_ = 1;
+    std::map<uint64_t, OpenQuery> openQueries_;
+    uint64_t nextQuery_ = 1;
     struct Unanswered {
-        uint32_t questions = 0; ///< In a row.
+        uint32_t queries = 0; ///< In a row.
         TimeMs askedAt; ///< Time of the newest query.
     };
     std::map<Address, Unanswered> unanswered_;
     std::vector<Address> entries_; ///< Sent to peers in replies.
     uint64_t entriesDigest_ = 0;
-    std::vector<Address> toldEntries_;
-    uint64_t toldEntriesDigest_ = 0;
+    std::vector<Address> peerEntries_;
+    uint64_t peerEntriesDigest_ = 0;
     std::vector<QuarantinedRequest> quarantine_; ///< As the gateway has it.
     uint64_t quarantineDigest_ = 0;
-    uint64_t toldQuarantineDigest_ = 0;
+    uint64_t peerQuarantineDigest_ = 0;
     std::vector<QuarantinedRequest> storedQuarantine_; ///< As last read or written.
     std::vector<QuarantinedRequest> writtenQuarantine_; ///< Content of this daemon's last write.
     uint64_t quarantineRevision_ = 0; ///< Revision of the key; 0: it does not exist.
@@ -275,9 +275,9 @@
     TimeMs sharedReadAt_;
     LeaderEntry leader_; ///< As last seen.
     bool leaderIsSelf_ = false;
-    bool leaderIsEarlierLife_ = false; ///< The key was written by an earlier daemon on this instance.
-    TimeMs standAt_; ///< Earliest time to campaign if there is no leader.
-    TimeMs takeBackAt_; ///< Earliest time to campaign if an earlier incarnation on this instance led.
+    bool leaderIsEarlierIncarnation_ = false; ///< The key was written by an earlier daemon on this instance.
+    TimeMs campaignAt_; ///< Earliest time to campaign if there is no leader.
+    TimeMs reclaimAt_; ///< Earliest time to campaign if an earlier incarnation on this instance led.
 
     uint64_t era_ = 0; ///< Era of the store; 0: not stated yet.
     TimeMs eraSeenAt_; ///< When the era increased; zero: not since this daemon started.
@@ -285,18 +285,18 @@
     uint64_t endpointsEra_ = 0;
     uint64_t settledEra_ = 0; ///< As read from the store.
     uint64_t storedVersion_ = 0; ///< Version of the configuration as last read from the store.
-    bool recordsAreWhole_ = false;
+    bool recordsComplete_ = false;
     TimeMs settleAt_; ///< Not before.
     /// Set if this daemon was the leader when the era increased: nobody else can win before this time.
-    std::optional<TimeMs> heldUntil_;
+    std::optional<TimeMs> reclaimUntil_;
     /// Start of the leadership, without a gap in which another daemon could have led; zero: it is not the
     /// leader.
     TimeMs ledSince_;
-    TimeMs actsFrom_; ///< An earlier leader may act until then, whatever the store shows.
+    TimeMs mayLeadFrom_; ///< An earlier leader may act until then, whatever the store shows.
     TimeMs firstViewAt_; ///< When this daemon read the store for the first time.
     bool startedUnsettled_ = false; ///< The era may have increased shortly before this daemon started.
-    bool vouchedFor_ = false;
-    uint64_t leastVersion_ = 0; ///< Version of the configuration that a peer has seen.
+    bool viewConfirmed_ = false;
+    uint64_t minVersion_ = 0; ///< Version of the configuration that a peer has seen.
 };
 
 } // namespace cranberry
--- a/src/io/commandline.cpp
+++ b/src/io/commandline.cpp
@@ -8,27 +8,27 @@
 
 namespace {
 
-constexpr size_t MaxTexts = 16;
+constexpr size_t MaxTextOptions = 16;
 
 } // namespace
 
 CommandLine::CommandLine(std::string program, std::string usage)
     : program_(std::move(program)), usage_(std::move(usage))
 {
-    texts_.reserve(MaxTexts); // popt keeps pointers to the elements, so the vector must not grow.
+    textOptions_.reserve(MaxTextOptions); // popt keeps pointers to the elements, so the vector must not grow.
 }
 
 CommandLine::~CommandLine()
 {
-    for (const Text &text : texts_)
+    for (const TextOption &text : textOptions_)
         free(text.value);
 }
 
 void CommandLine::addText(const char *name, char letter, std::string &out, const char *help,
                           const char *argument)
 {
-    texts_.push_back({nullptr, &out});
-    options_.push_back({name, letter, POPT_ARG_STRING, &texts_.back().value, 0, help, argument});
+    textOptions_.push_back({nullptr, &out});
+    options_.push_back({name, letter, POPT_ARG_STRING, &textOptions_.back().value, 0, help, argument});
 }
 
 void CommandLine::addFlag(const char *name, char letter, int &out, const char *help)
@@ -56,7 +56,7 @@
     for (const char *argument = poptGetArg(context); argument; argument = poptGetArg(context))
         arguments_.emplace_back(argument);
     poptFreeContext(context);
-    for (const Text &text : texts_) {
+    for (const TextOption &text : textOptions_) {
         if (text.value)
             *text.out = text.value;
     }
--- a/src/io/commandline.h
+++ b/src/io/commandline.h
@@ -34,7 +34,7 @@
     CommandLine &operator=(const CommandLine &) = delete;
 
 private:
-    struct Text {
+    struct TextOption {
         char *value = nullptr;
         std::string *out = nullptr;
     };
@@ -42,7 +42,7 @@
     std::string usage_;
     std::vector<poptOption> options_;
     std::vector<std::string> arguments_;
-    std::vector<Text> texts_;
+    std::vector<TextOption> textOptions_;
     int exitCode_ = 0;
     int version_ = 0;
 };
--- a/src/io/httpclient.cpp
+++ b/src/io/httpclient.cpp
@@ -30,8 +30,8 @@
 
 struct IdleConnection {
     StreamPtr stream;
-    std::chrono::steady_clock::time_point since;
-    std::chrono::milliseconds limit;
+    std::chrono::steady_clock::time_point idleSince;
+    std::chrono::milliseconds idleLimit;
 };
 
 std::chrono::milliseconds toChrono(DurationMs duration)
@@ -58,7 +58,7 @@
     explicit State(asio::io_context &io) : io(io) { }
 
     StreamPtr takeIdle(const Address &address);
-    void keep(const Address &address, StreamPtr stream, std::chrono::milliseconds limit);
+    void putIdle(const Address &address, StreamPtr stream, std::chrono::milliseconds limit);
 
     asio::io_context &io;
     std::map<Address, std::vector<IdleConnection>> idle;
@@ -72,11 +72,12 @@
 class ClientCall : public std::enable_shared_from_this<ClientCall>
 {
 public:
-    using Keep = std::function<void(StreamPtr, std::chrono::milliseconds)>;
+    using KeepConnection = std::function<void(StreamPtr, std::chrono::milliseconds)>;
 
-    ClientCall(HttpCall call, HttpCallbacks callbacks, std::function<void()> onGone, Keep keep)
-        : call_(std::move(call)), callbacks_(std::move(callbacks)), onGone_(std::move(onGone)),
-          keep_(std::move(keep))
+    ClientCall(HttpCall call, HttpCallbacks callbacks, std::function<void()> onFinished,
+               KeepConnection keepConnection)
+        : call_(std::move(call)), callbacks_(std::move(callbacks)), onFinished_(std::move(onFinished)),
+          keepConnection_(std::move(keepConnection))
     {
         message_.version(11);
         message_.method_string(call_.request.method);
@@ -89,13 +90,13 @@
         message_.prepare_payload();
         parser_.body_limit(boost::none);
         if (call_.totalTimeout.count > 0)
-            endsAt_ = std::chrono::steady_clock::now() + toChrono(call_.totalTimeout);
+            deadline_ = std::chrono::steady_clock::now() + toChrono(call_.totalTimeout);
         chunk_.resize(ReadBytes);
     }
 
-    void startOn(StreamPtr kept)
+    void startOnIdle(StreamPtr idleStream)
     {
-        stream_ = std::move(kept);
+        stream_ = std::move(idleStream);
         write();
     }
 
@@ -116,32 +117,32 @@
 
     void cancel()
     {
-        gone_ = true;
+        finished_ = true;
         callbacks_ = {};
-        giveUp();
+        closeConnection();
     }
 
 private:
     void expireAfter(DurationMs timeout)
     {
         const std::chrono::steady_clock::time_point at = std::chrono::steady_clock::now() + toChrono(timeout);
-        stream_->expires_at(endsAt_ ? std::min(at, *endsAt_) : at);
+        stream_->expires_at(deadline_ ? std::min(at, *deadline_) : at);
     }
 
     // Also cancels a pending write.
-    void giveUp()
+    void closeConnection()
     {
         if (!stream_)
             return;
         beast::error_code ignored;
-        if (call_.resetWhenGivenUp)
+        if (call_.resetOnAbort)
             stream_->socket().set_option(asio::socket_base::linger(true, 0), ignored);
         stream_->close();
     }
 
     void onConnected(beast::error_code code)
     {
-        if (gone_)
+        if (finished_)
             return;
         if (code)
             return done(code == asio::error::connection_refused ? HttpFailure::Refused
@@ -166,7 +167,7 @@
         expireAfter(call_.progressTimeout);
         http::async_read_header(*stream_, buffer_, parser_,
                                 [self = shared_from_this()](beast::error_code code, size_t) {
-                                    if (!self->gone_)
+                                    if (!self->finished_)
                                         self->onHead(code);
                                 });
     }
@@ -181,20 +182,20 @@
         idleLimit_ = idleLimitOf(headers);
         if (callbacks_.onHead)
             callbacks_.onHead(static_cast<int>(parser_.get().result_int()), headers);
-        if (!gone_)
+        if (!finished_)
             readBody();
     }
 
     void readBody()
     {
         if (parser_.is_done())
-            return whole();
+            return onResponseComplete();
         parser_.get().body().data = chunk_.data();
         parser_.get().body().size = chunk_.size();
         expireAfter(call_.progressTimeout);
         http::async_read_some(*stream_, buffer_, parser_,
                               [self = shared_from_this()](beast::error_code code, size_t) {
-                                  if (!self->gone_)
+                                  if (!self->finished_)
                                       self->onBody(code);
                               });
     }
@@ -204,7 +205,7 @@
         const size_t size = chunk_.size() - parser_.get().body().size;
         if (size > 0 && callbacks_.onData)
             callbacks_.onData(chunk_.data(), size);
-        if (gone_)
+        if (finished_)
             return;
         if (code && code != http::error::need_buffer)
             return done(failureOf(code));
@@ -213,65 +214,65 @@
 
     static HttpFailure failureOf(beast::error_code code)
     {
-        return code == beast::error::timeout ? HttpFailure::Silent : HttpFailure::Broken;
+        return code == beast::error::timeout ? HttpFailure::ProgressTimeout : HttpFailure::Interrupted;
     }
 
-    void whole()
+    void onResponseComplete()
     {
         // Bytes after the response belong to no request, so the connection can't be reused.
         if (parser_.get().keep_alive() && buffer_.size() == 0 && written_)
-            keep_(std::move(stream_), idleLimit_);
+            keepConnection_(std::move(stream_), idleLimit_);
         done(HttpFailure::None);
     }
 
     void done(HttpFailure failure)
     {
-        if (gone_)
+        if (finished_)
             return;
-        gone_ = true;
-        giveUp();
+        finished_ = true;
+        closeConnection();
         const HttpCallbacks callbacks = std::move(callbacks_);
-        onGone_();
+        onFinished_();
         if (callbacks.onDone)
             callbacks.onDone(failure);
     }
 
     HttpCall call_;
     HttpCallbacks callbacks_;
-    std::function<void()> onGone_;
-    Keep keep_;
+    std::function<void()> onFinished_;
+    KeepConnection keepConnection_;
     StreamPtr stream_;
     http::request<http::string_body> message_;
     http::response_parser<http::buffer_body> parser_;
     beast::flat_buffer buffer_;
     std::vector<char> chunk_;
-    std::optional<std::chrono::steady_clock::time_point> endsAt_;
+    std::optional<std::chrono::steady_clock::time_point> deadline_;
     std::chrono::milliseconds idleLimit_ = DefaultIdleLimit;
     bool written_ = false;
-    bool gone_ = false;
+    bool finished_ = false;
 };
 
 } // namespace
 
 StreamPtr HttpClient::State::takeIdle(const Address &address)
 {
-    std::vector<IdleConnection> &kept = idle[address];
-    while (!kept.empty()) {
-        IdleConnection last = std::move(kept.back());
-        kept.pop_back();
-        const bool quiet = isQuiet(last.stream->socket().native_handle());
-        if (quiet && std::chrono::steady_clock::now() - last.since < last.limit)
+    std::vector<IdleConnection> &idleConnections = idle[address];
+    while (!idleConnections.empty()) {
+        IdleConnection last = std::move(idleConnections.back());
+        idleConnections.pop_back();
+        const bool reusable = isReusable(last.stream->socket().native_handle());
+        if (reusable && std::chrono::steady_clock::now() - last.idleSince < last.idleLimit)
             return std::move(last.stream);
     }
     return nullptr;
 }
 
-void HttpClient::State::keep(const Address &address, StreamPtr stream, std::chrono::milliseconds limit)
+void HttpClient::State::putIdle(const Address &address, StreamPtr stream, std::chrono::milliseconds limit)
 {
-    std::vector<IdleConnection> &kept = idle[address];
+    std::vector<IdleConnection> &idleConnections = idle[address];
     stream->expires_never();
-    if (kept.size() < MaxIdlePerAddress)
-        kept.push_back({std::move(stream), std::chrono::steady_clock::now(), limit});
+    if (idleConnections.size() < MaxIdlePerAddress)
+        idleConnections.push_back({std::move(stream), std::chrono::steady_clock::now(), limit});
 }
 
 HttpClient::HttpClient(asio::io_context &io) : state_(std::make_shared<State>(io)) { }
@@ -296,12 +297,12 @@
         },
         [weak, address](StreamPtr stream, std::chrono::milliseconds limit) {
             if (std::shared_ptr<State> state = weak.lock())
-                state->keep(address, std::move(stream), limit);
+                state->putIdle(address, std::move(stream), limit);
         });
     state_->calls[id] = running;
-    StreamPtr kept = fresh ? nullptr : state_->takeIdle(address);
-    if (kept)
-        running->startOn(std::move(kept));
+    StreamPtr idleStream = fresh ? nullptr : state_->takeIdle(address);
+    if (idleStream)
+        running->startOnIdle(std::move(idleStream));
     else
         running->connect(state_->io);
     return id;
--- a/src/io/httpclient.h
+++ b/src/io/httpclient.h
@@ -12,8 +12,8 @@
     None,
     Refused, ///< The peer's host refused the connection, since no process listens there; no byte was sent.
     NotSent, ///< No connection was established for another reason; no byte was sent.
-    Broken, ///< The connection failed or the response was malformed after sending had begun.
-    Silent ///< No byte was received for the progress timeout, or the total timeout expired.
+    Interrupted, ///< The connection failed or the response was malformed after sending had begun.
+    ProgressTimeout ///< No byte was received for the progress timeout, or the total timeout expired.
 };
 
 /// Returns whether the server may have read part of the request.
@@ -33,7 +33,7 @@
     DurationMs totalTimeout{0}; ///< Limit for the complete call; 0 means none.
     /// Resets the connection (RST) when the call fails or is cancelled: after a normal close, bytes that are
     /// still in transit could arrive seconds later.
-    bool resetWhenGivenUp = false;
+    bool resetOnAbort = false;
 };
 
 struct HttpCallbacks {
--- a/src/io/httpserver.cpp
+++ b/src/io/httpserver.cpp
@@ -195,8 +195,8 @@
     {
         for (const HttpHeader &header : headers)
             message.insert(header.name, header.value);
-        keepAliveAsked_ = keepAliveAsked_ && !listener_->closeAfterResponses;
-        message.keep_alive(keepAliveAsked_);
+        keepAlive_ = keepAlive_ && !listener_->closeAfterResponses;
+        message.keep_alive(keepAlive_);
     }
 
     void onRead(beast::error_code code)
@@ -208,7 +208,7 @@
         readTimer_.cancel();
         if (code && readTimedOut_) {
             ++counters_.timeouts;
-            if (!listener_->limits.answersTimeouts)
+            if (!listener_->limits.respondsToTimeouts)
                 return close();
             return refuse(408, "the request took too long to arrive");
         }
@@ -226,7 +226,7 @@
         for (const http::fields::value_type &field : message)
             request_.headers.push_back({std::string(field.name_string()), std::string(field.value())});
         request_.body = std::move(message.body());
-        keepAliveAsked_ = message.keep_alive();
+        keepAlive_ = message.keep_alive();
         finished_ = false;
         chunked_ = false;
         stream_.expires_never();
@@ -236,7 +236,7 @@
 
     void refuse(int status, const std::string &why)
     {
-        keepAliveAsked_ = false;
+        keepAlive_ = false;
         finished_ = false;
         respond(status, {{"Content-Type", "application/json"}},
                 "{\"outcome\":\"notRun\",\"reason\":\"badRequest\",\"message\":\"" + why + "\"}");
@@ -282,7 +282,7 @@
         onClosed_ = nullptr;
         beast::error_code ignored;
         stream_.socket().cancel(ignored);
-        if (keepAliveAsked_)
+        if (keepAlive_)
             return readNext();
         stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
         stream_.expires_after(LingerTimeout);
@@ -330,7 +330,7 @@
     bool closed_ = false;
     bool finished_ = false;
     bool chunked_ = false;
-    bool keepAliveAsked_ = true;
+    bool keepAlive_ = true;
 };
 
 void HttpServer::Listener::accept()
--- a/src/io/httpserver.h
+++ b/src/io/httpserver.h
@@ -35,7 +35,7 @@
     uint32_t maxBodyBytes = 4U << 20;
     DurationMs readTimeout{10000}; ///< For the header and for the body of a request, each.
     DurationMs idleTimeout{10000}; ///< Maximum time between two requests of a connection.
-    bool answersTimeouts = false; ///< Responds with 408 after the read timeout, instead of only closing.
+    bool respondsToTimeouts = false; ///< Responds with 408 after the read timeout, instead of only closing.
 };
 
 /// Counts connections, and by cause the requests that did not reach the handler.
--- a/src/io/latency.cpp
+++ b/src/io/latency.cpp
@@ -13,12 +13,12 @@
 using Histogram = decltype(histogram::make_histogram(std::declval<Axis>()));
 
 constexpr unsigned int Buckets = 24;
-constexpr double LeastMs = 1;
-constexpr double MostMs = 100'000;
+constexpr double MinLatencyMs = 1;
+constexpr double MaxLatencyMs = 100'000;
 
-Histogram makeOne()
+Histogram makeLatencyHistogram()
 {
-    return histogram::make_histogram(Axis(Buckets, LeastMs, MostMs));
+    return histogram::make_histogram(Axis(Buckets, MinLatencyMs, MaxLatencyMs));
 }
 
 std::string textOf(const Histogram &counts, const char *name)
@@ -38,9 +38,9 @@
 } // namespace
 
 struct LatencyHistograms::Histograms {
-    Histogram firstToken = makeOne();
-    Histogram betweenTokens = makeOne();
-    Histogram whole = makeOne();
+    Histogram firstToken = makeLatencyHistogram();
+    Histogram betweenTokens = makeLatencyHistogram();
+    Histogram fullResponse = makeLatencyHistogram();
 };
 
 LatencyHistograms::LatencyHistograms() : histograms_(std::make_unique<Histograms>()) { }
@@ -56,15 +56,16 @@
     histograms_->betweenTokens(static_cast<double>(took.count));
 }
 
-void LatencyHistograms::whole(DurationMs took)
+void LatencyHistograms::fullResponse(DurationMs took)
 {
-    histograms_->whole(static_cast<double>(took.count));
+    histograms_->fullResponse(static_cast<double>(took.count));
 }
 
 std::string LatencyHistograms::prometheusText() const
 {
     return textOf(histograms_->firstToken, "first_token")
-        + textOf(histograms_->betweenTokens, "between_tokens") + textOf(histograms_->whole, "whole_answer");
+        + textOf(histograms_->betweenTokens, "between_tokens")
+        + textOf(histograms_->fullResponse, "whole_answer");
 }
 
 } // namespace cranberry
--- a/src/io/latency.h
+++ b/src/io/latency.h
@@ -15,7 +15,7 @@
 
     void firstToken(DurationMs took);
     void betweenTokens(DurationMs took);
-    void whole(DurationMs took);
+    void fullResponse(DurationMs took);
 
     /// Returns cumulative buckets in the Prometheus text format.
     std::string prometheusText() const;
--- a/src/io/settingsfile.h
+++ b/src/io/settingsfile.h
@@ -18,17 +18,17 @@
         exitCode = line.fail("can't read " + file);
         return std::nullopt;
     }
-    std::string wrong;
+    std::string errorText;
     Settings settings;
     boost::leaf::try_handle_all(
         [&]() -> Result<void> {
             BOOST_LEAF_ASSIGN(settings, parse(*text));
             return {};
         },
-        [&](const FieldError &error) { wrong = toText(error); }, [&] { wrong = "can't be read"; });
-    if (wrong.empty())
+        [&](const FieldError &error) { errorText = toText(error); }, [&] { errorText = "can't be read"; });
+    if (errorText.empty())
         return settings;
-    exitCode = line.fail(file + ": " + wrong);
+    exitCode = line.fail(file + ": " + errorText);
     return std::nullopt;
 }
 
--- a/src/io/socketoptions.cpp
+++ b/src/io/socketoptions.cpp
@@ -32,7 +32,7 @@
     set(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, UserTimeoutMs);
 }
 
-bool isQuiet(int socket)
+bool isReusable(int socket)
 {
     char byte = 0;
     const ssize_t size = ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
--- a/src/io/socketoptions.h
+++ b/src/io/socketoptions.h
@@ -8,6 +8,6 @@
 
 /// Returns whether an idle connection can be reused: the peer has neither closed it nor sent unexpected
 /// bytes.
-bool isQuiet(int socket);
+bool isReusable(int socket);
 
 } // namespace cranberry
--- a/tests/crashingrequest_test.cpp
+++ b/tests/crashingrequest_test.cpp
@@ -33,7 +33,7 @@
     }
 
     /// The same caller and body each time, under another id.
-    CallerId askAgain()
+    CallerId requestAgain()
     {
         CallerRequest again = makeRequest(Review);
         again.body = "one and the same";
@@ -81,17 +81,17 @@
 {
     // The caller's first try crashes two engines, its second one a third. Any further crash would fail other
     // callers' requests, so the caller is told at once that the request was not run.
-    askAgain();
+    requestAgain();
     crash();
     REQUIRE(sent.size() == 2);
     crash();
     pass({500});
-    askAgain();
+    requestAgain();
     REQUIRE(sent.size() == 3);
     crash();
     pass(RestartTime);
     const size_t before = sent.size();
-    const CallerId again = askAgain();
+    const CallerId again = requestAgain();
     CHECK(sent.size() == before);
     CHECK(statusOf(again) == 503);
     CHECK_FALSE(headerOfAnswer(again, "Retry-After").empty());
@@ -203,7 +203,7 @@
     // outcome is unknown.
     std::array<CallerId, 4> callers;
     for (CallerId &caller : callers)
-        caller = askAgain();
+        caller = requestAgain();
     gateway.onCrashNotice({{{digestOfFirst(), {EndpointId{"x1"}, {}}, false},
                             {digestOfFirst(), {EndpointId{"x2"}, {}}, false},
                             {digestOfFirst(), {EndpointId{"x3"}, {}}, false}},
@@ -225,13 +225,13 @@
     // A stream runs while its request is quarantined because of crashes that other daemons saw. Its engine is
     // about to leave: the stream is not migrated. Its engine crashes: the stream is not resumed, and the
     // caller's own attempt to resume it is refused.
-    configuration->services[0].engine->movesRuns = true;
-    const CallerId caller = askAgain();
+    configuration->services[0].engine->migratesGenerations = true;
+    const CallerId caller = requestAgain();
     const SendAttempt first = lastSent();
     head(first.attempt, 200, true);
     events(first.attempt, 1, 3);
     const QuarantinedRequest listed{digestOfFirst(), (now + DurationMs{60000}).count};
-    gateway.onQuarantine({listed}, VerdictSource::Store, now);
+    gateway.onQuarantine({listed}, QuarantineSource::Store, now);
     drainActions();
     CHECK_FALSE(streamEnds.contains(caller));
     for (EndpointEntry &entry : endpoints) {
@@ -260,14 +260,14 @@
     // Engines of a reclaimed failure domain exit with the streams that could not be migrated; resets cut
     // connections of engines that continue. The same request may be there many times.
     for (int i = 0; i < 5; ++i) {
-        askAgain();
+        requestAgain();
         const SendAttempt attempt = lastSent();
         broken(attempt.attempt);
-        gateway.onEngineProbed({attempt.endpoint, {}, true, false, {}, EndpointProcess::Runs, true}, now);
+        gateway.onEngineProbed({attempt.endpoint, {}, true, false, {}, EndpointProcess::Running, true}, now);
         pass({1000});
     }
     for (int i = 0; i < 5; ++i) {
-        askAgain();
+        requestAgain();
         const SendAttempt attempt = lastSent();
         for (EndpointEntry &entry : endpoints) {
             if (entry.id == attempt.endpoint)
@@ -283,6 +283,6 @@
         pass({1000});
     }
     const size_t before = sent.size();
-    askAgain();
+    requestAgain();
     CHECK(sent.size() == before + 1);
 }
--- a/tests/crashsuspects_test.cpp
+++ b/tests/crashsuspects_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr RequestDigest Bad{1};
 
-EndpointLoss loss(RequestDigest request, int endpoint, bool ranWell = false)
+EndpointCrash crashOf(RequestDigest request, int endpoint, bool ranWell = false)
 {
     return {request, {EndpointId{"engine-" + std::to_string(endpoint)}, {}}, ranWell};
 }
@@ -26,9 +26,9 @@
     for (int end = 0; end < 3; ++end) {
         CHECK_FALSE(suspects.isQuarantined(Bad, now));
         for (uint64_t other = 0; other < 30; ++other)
-            suspects.endedUnder(loss({100 + 30 * static_cast<uint64_t>(end) + other}, end), now);
-        CHECK(suspects.endedUnder(loss(Bad, end), now) == (end == 2));
-        CHECK_FALSE(suspects.endedUnder(loss(Bad, end), now));
+            suspects.recordCrash(crashOf({100 + 30 * static_cast<uint64_t>(end) + other}, end), now);
+        CHECK(suspects.recordCrash(crashOf(Bad, end), now) == (end == 2));
+        CHECK_FALSE(suspects.recordCrash(crashOf(Bad, end), now));
     }
     CHECK(suspects.isQuarantined(Bad, now));
     CHECK(suspects.quarantined(10, now).size() == 1);
@@ -42,12 +42,12 @@
     CrashSuspects suspects;
     const TimeMs now{1000};
     for (int end = 0; end < 20; ++end) {
-        suspects.endedUnder(loss(Bad, end), now);
+        suspects.recordCrash(crashOf(Bad, end), now);
         if (end % 2 == 1)
-            CHECK(suspects.answered(Bad, now));
+            CHECK(suspects.recordAnswer(Bad, now));
         CHECK_FALSE(suspects.isQuarantined(Bad, now));
     }
-    CHECK_FALSE(suspects.answered(Bad, now));
+    CHECK_FALSE(suspects.recordAnswer(Bad, now));
 }
 
 TEST_CASE("a request that had streamed for a while counts half, and is quarantined later")
@@ -58,9 +58,9 @@
     CrashSuspects suspects;
     const TimeMs now{1000};
     for (int end = 0; end < 5; ++end)
-        suspects.endedUnder(loss(Bad, end, true), now);
+        suspects.recordCrash(crashOf(Bad, end, true), now);
     CHECK_FALSE(suspects.isQuarantined(Bad, now));
-    suspects.endedUnder(loss(Bad, 5, true), now);
+    suspects.recordCrash(crashOf(Bad, 5, true), now);
     CHECK(suspects.isQuarantined(Bad, now));
 }
 
@@ -86,9 +86,9 @@
     CrashSuspects suspects;
     const TimeMs now{1'000'000};
     for (int end = 0; end < 3; ++end)
-        suspects.endedUnder(loss(Bad, end), now);
+        suspects.recordCrash(crashOf(Bad, end), now);
     const TimeMs until = suspects.quarantined(1, now).front().until;
-    CHECK(suspects.answered(Bad, now + DurationMs{500}));
+    CHECK(suspects.recordAnswer(Bad, now + DurationMs{500}));
     CHECK_FALSE(suspects.quarantine(Bad, until, now + DurationMs{1000}));
     CHECK_FALSE(suspects.isQuarantined(Bad, now + DurationMs{1000}));
 }
@@ -102,10 +102,10 @@
     CrashSuspects suspects;
     TimeMs now{1000};
     for (int end = 0; end < 3; ++end)
-        suspects.endedUnder(loss(Bad, end), now);
+        suspects.recordCrash(crashOf(Bad, end), now);
     for (uint64_t other = 0; other < 1'000'000; ++other) {
         now = now + DurationMs{other % 10 == 0 ? 1 : 0};
-        suspects.endedUnder(loss({100 + other}, static_cast<int>(other / 60)), now);
+        suspects.recordCrash(crashOf({100 + other}, static_cast<int>(other / 60)), now);
     }
     CHECK(suspects.size() <= 1024);
     CHECK(suspects.isQuarantined(Bad, now));
--- a/tests/decoders_random_test.cpp
+++ b/tests/decoders_random_test.cpp
@@ -30,21 +30,21 @@
 constexpr const char *Move = R"({"Handle":"h","Created":5})";
 
 // Mutates a valid text: truncates it, replaces or duplicates a piece, or overwrites a byte.
-std::string spoiled(std::string text, Random &random)
+std::string mutated(std::string text, Random &random)
 {
-    static constexpr std::string_view Pieces[] = {"null",
-                                                  "-1",
-                                                  "1e999",
-                                                  "[",
-                                                  "}",
-                                                  "\"",
-                                                  "\\u0000",
-                                                  "\xff",
-                                                  "true",
-                                                  "{}",
-                                                  "0.5",
-                                                  ",",
-                                                  "18446744073709551616"};
+    static constexpr std::string_view Fragments[] = {"null",
+                                                     "-1",
+                                                     "1e999",
+                                                     "[",
+                                                     "}",
+                                                     "\"",
+                                                     "\\u0000",
+                                                     "\xff",
+                                                     "true",
+                                                     "{}",
+                                                     "0.5",
+                                                     ",",
+                                                     "18446744073709551616"};
     const uint64_t changes = 1 + random.below(3);
     for (uint64_t i = 0; i < changes && !text.empty(); ++i) {
         const size_t at = random.below(text.size());
@@ -54,7 +54,7 @@
             text.resize(at);
             break;
         case 1:
-            text.replace(at, length, Pieces[random.below(std::size(Pieces))]);
+            text.replace(at, length, Fragments[random.below(std::size(Fragments))]);
             break;
         case 2:
             text.insert(at, text.substr(at, length));
@@ -114,20 +114,20 @@
         for (int i = 0; i < Rounds; ++i) {
             switch (random.below(5)) {
             case 0:
-                checkEntry(spoiled(Entry, random));
+                checkEntry(mutated(Entry, random));
                 break;
             case 1:
-                checkConfiguration(spoiled(Configuration, random));
+                checkConfiguration(mutated(Configuration, random));
                 break;
             case 2:
-                checkReply(codec, spoiled(Reply, random), random.below(2) == 0 ? 200 : 412);
+                checkReply(codec, mutated(Reply, random), random.below(2) == 0 ? 200 : 412);
                 break;
             case 3:
-                CHECK(platform::decodeProbe({"i-7"}, 200, spoiled(Report, random)).start.unixMs >= 0);
+                CHECK(platform::decodeProbe({"i-7"}, 200, mutated(Report, random)).start.unixMs >= 0);
                 break;
             default:
-                platform::decodeMove({1}, 200, spoiled(Move, random));
-                decodeDatagram(spoiled(encodeDatagram(QuotaAsk{4, {"a"}, 12.5}), random));
+                platform::decodeMigrationReply({1}, 200, mutated(Move, random));
+                decodeDatagram(mutated(encodeDatagram(QuotaRequest{4, {"a"}, 12.5}), random));
             }
         }
         log.lines.clear();
--- a/tests/duties_test.cpp
+++ b/tests/duties_test.cpp
@@ -23,10 +23,10 @@
 
 /// Simulates several daemons at one store, in virtual time. A frozen daemon does not run; replies to it wait
 /// in its inbox.
-class DutyWorld
+class LeaderSimulation
 {
 public:
-    explicit DutyWorld(uint64_t seed, size_t daemons = 3) : store(seed), random(seed)
+    explicit LeaderSimulation(uint64_t seed, size_t daemons = 3) : store(seed), random(seed)
     {
         configuration = std::make_shared<ServingConfiguration>();
         configuration->version = 1;
@@ -50,10 +50,10 @@
         settings.seed = random.next();
         if (daemons_.size() <= i)
             daemons_.resize(i + 1);
-        daemons_[i] = std::make_unique<OneDaemon>(settings, log);
+        daemons_[i] = std::make_unique<SimulatedDaemon>(settings, log);
     }
 
-    void pass(DurationMs duration)
+    void advance(DurationMs duration)
     {
         const TimeMs until = now + duration;
         while (now < until) {
@@ -66,7 +66,7 @@
         }
     }
 
-    std::optional<size_t> holder() const
+    std::optional<size_t> leader() const
     {
         for (size_t i = 0; i < daemons_.size(); ++i) {
             if (daemons_[i]->sync.leadership(now).held)
@@ -84,71 +84,71 @@
     TimeMs now{1'000'000};
     std::vector<AcceptedCall> accepted;
     std::map<int64_t, std::set<std::string>> reports; ///< Distinct contents sent for each window.
-    uint64_t loseDutyReplyPercent = 0;
+    uint64_t loseCallReplyPercent = 0;
 
 private:
-    struct OneDaemon {
-        OneDaemon(const StoreSyncSettings &settings, DecisionLog &log)
-            : sync(settings, log), duty({10000}, log), usage({5000}), peers(settings.self.instance)
+    struct SimulatedDaemon {
+        SimulatedDaemon(const StoreSyncSettings &settings, DecisionLog &log)
+            : sync(settings, log), reporter({10000}, log), usage({5000}), peers(settings.self.instance)
         { }
         StoreSync sync;
-        UsageDuty duty;
+        UsageReporter reporter;
         UsageWindows usage;
         PeerTable peers;
         std::vector<StoreReply> inbox;
-        std::map<uint64_t, bool> dutyStoreCalls;
+        std::map<uint64_t, bool> reporterStoreCalls;
         TimeMs frozenUntil;
     };
 
     void runDaemon(size_t i)
     {
-        OneDaemon &daemon = *daemons_[i];
+        SimulatedDaemon &daemon = *daemons_[i];
         if (now < daemon.frozenUntil)
             return;
         for (const StoreReply &reply : std::exchange(daemon.inbox, {})) {
             // The usage reporter assigns its own call ids; a high bit tells them from those of the store
             // sync.
-            if ((reply.id & DutyBit) != 0) {
+            if ((reply.id & ReporterIdBit) != 0) {
                 StoreReply own = reply;
-                own.id &= ~DutyBit;
-                daemon.sync.judgeEra(own, now);
-                daemon.duty.onStoreReply(own, now);
+                own.id &= ~ReporterIdBit;
+                daemon.sync.checkEra(own, now);
+                daemon.reporter.onStoreReply(own, now);
             } else {
                 daemon.sync.onReply(reply, now);
             }
         }
         daemon.sync.tick(now);
-        daemon.sync.takeNews();
+        daemon.sync.takeUpdates();
         if (random.below(10) == 0)
             daemon.usage.count({"a"}, now);
         const Leadership leadership = daemon.sync.leadership(now);
-        daemon.duty.tick(leadership, daemon.usage, daemon.peers, configuration, now);
-        daemon.sync.setRecordsWhole(daemon.duty.recordsAreWhole());
+        daemon.reporter.tick(leadership, daemon.usage, daemon.peers, configuration, now);
+        daemon.sync.setRecordsComplete(daemon.reporter.recordsComplete());
         for (const StoreCall &call : daemon.sync.takeCalls())
             store.submit(i, call, now);
-        for (StoreCall call : daemon.duty.takeStoreCalls()) {
-            call.id |= DutyBit;
+        for (StoreCall call : daemon.reporter.takeStoreCalls()) {
+            call.id |= ReporterIdBit;
             store.submit(i, call, now);
         }
-        for (const DutyCall &call : daemon.duty.takeDutyCalls()) {
+        for (const LeaderCall &call : daemon.reporter.takeLeaderCalls()) {
             accepted.push_back({i, call.fencingToken, now});
             reports[call.usage->window].insert(fmt::format("{}", call.usage->counts.begin()->second));
-            if (random.below(100) >= loseDutyReplyPercent)
-                daemon.duty.onDutyReply(call.id, DutyOutcome::Done, now);
+            if (random.below(100) >= loseCallReplyPercent)
+                daemon.reporter.onLeaderReply(call.id, LeaderCallOutcome::Done, now);
         }
     }
 
     // Checks at every step that there is at most one leader.
     void check()
     {
-        size_t holders = 0;
-        for (const std::unique_ptr<OneDaemon> &daemon : daemons_)
-            holders += now >= daemon->frozenUntil && daemon->sync.leadership(now).held ? 1 : 0;
-        REQUIRE(holders <= 1);
+        size_t leaders = 0;
+        for (const std::unique_ptr<SimulatedDaemon> &daemon : daemons_)
+            leaders += now >= daemon->frozenUntil && daemon->sync.leadership(now).held ? 1 : 0;
+        REQUIRE(leaders <= 1);
     }
 
-    static constexpr uint64_t DutyBit = uint64_t{1} << 40U;
-    std::vector<std::unique_ptr<OneDaemon>> daemons_;
+    static constexpr uint64_t ReporterIdBit = uint64_t{1} << 40U;
+    std::vector<std::unique_ptr<SimulatedDaemon>> daemons_;
 };
 
 // Checks that tokens never decrease, that no two daemons share one, and that no daemon acts again within a
@@ -180,16 +180,16 @@
 TEST_CASE("one daemon is the leader, and another one soon after the first is killed")
 {
     // The leader is killed and restarts only after its lease has expired.
-    DutyWorld world(1);
-    world.pass({6000});
-    const std::optional<size_t> first = world.holder();
+    LeaderSimulation world(1);
+    world.advance({6000});
+    const std::optional<size_t> first = world.leader();
     REQUIRE(first);
     world.freeze(*first, {5000});
-    world.pass({5000});
+    world.advance({5000});
     world.start(*first);
-    world.pass({1000});
-    REQUIRE(world.holder());
-    CHECK(*world.holder() != *first);
+    world.advance({1000});
+    REQUIRE(world.leader());
+    CHECK(*world.leader() != *first);
 }
 
 TEST_CASE("a leader that restarts resumes its leadership before its old lease expires")
@@ -197,19 +197,19 @@
     // All daemons are killed at once and restart a second later. The leader's key remains until its lease
     // expires. Nobody else can have led meanwhile, so the leader's instance resumes at once, under a higher
     // token.
-    DutyWorld world(7);
-    world.pass({6000});
-    const std::optional<size_t> first = world.holder();
+    LeaderSimulation world(7);
+    world.advance({6000});
+    const std::optional<size_t> first = world.leader();
     REQUIRE(first);
     const size_t acted = world.accepted.size();
     REQUIRE(acted > 0);
     const uint64_t before = world.accepted.back().token;
     for (size_t i = 0; i < 3; ++i)
         world.start(i);
-    world.pass({500});
-    REQUIRE(world.holder());
-    CHECK(*world.holder() == *first);
-    world.pass({8000});
+    world.advance({500});
+    REQUIRE(world.leader());
+    CHECK(*world.leader() == *first);
+    world.advance({8000});
     REQUIRE(world.accepted.size() > acted);
     CHECK(world.accepted[acted].token > before);
     checkAccepted(world.accepted);
@@ -220,30 +220,30 @@
     // The leader's instance is suspended for ten seconds; its lease expires and another daemon takes over.
     // When it resumes, it has received no notice of that. By its own clock, which includes the suspension,
     // its lease is over.
-    DutyWorld world(2);
-    world.pass({6000});
-    const std::optional<size_t> first = world.holder();
+    LeaderSimulation world(2);
+    world.advance({6000});
+    const std::optional<size_t> first = world.leader();
     REQUIRE(first);
     world.freeze(*first, {10000});
-    world.pass({9980});
-    REQUIRE(world.holder());
-    CHECK(*world.holder() != *first);
-    world.pass({2000});
-    CHECK(*world.holder() != *first);
+    world.advance({9980});
+    REQUIRE(world.leader());
+    CHECK(*world.leader() != *first);
+    world.advance({2000});
+    CHECK(*world.leader() != *first);
     checkAccepted(world.accepted);
 }
 
 TEST_CASE("a leader cut off from the store stops before its lease can expire")
 {
-    DutyWorld world(3);
-    world.pass({6000});
-    const std::optional<size_t> first = world.holder();
+    LeaderSimulation world(3);
+    world.advance({6000});
+    const std::optional<size_t> first = world.leader();
     REQUIRE(first);
     world.store.refusedClients = {*first};
-    world.pass({2400});
-    CHECK(world.holder() != first);
-    world.pass({5000});
-    CHECK(world.holder());
+    world.advance({2400});
+    CHECK(world.leader() != first);
+    world.advance({5000});
+    CHECK(world.leader());
     checkAccepted(world.accepted);
 }
 
@@ -251,15 +251,15 @@
     "an outage of the store ends the leadership, and a leader is back after it, whether leases lapse or not")
 {
     for (const bool lapse : {false, true}) {
-        DutyWorld world(4);
-        world.pass({6000});
+        LeaderSimulation world(4);
+        world.advance({6000});
         world.store.faults.down = true;
         world.store.faults.leasesLapseWhileDown = lapse;
-        world.pass({5000});
-        CHECK_FALSE(world.holder());
+        world.advance({5000});
+        CHECK_FALSE(world.leader());
         world.store.faults.down = false;
-        world.pass({9000});
-        CHECK(world.holder());
+        world.advance({9000});
+        CHECK(world.leader());
         checkAccepted(world.accepted);
     }
 }
@@ -269,9 +269,9 @@
     // The receiver took the report, but the reply was lost. Meanwhile more requests were counted for the
     // window. The retry must have the same content, or the receiver gets two different reports for one
     // window.
-    DutyWorld world(5);
-    world.loseDutyReplyPercent = 70;
-    world.pass({40000});
+    LeaderSimulation world(5);
+    world.loseCallReplyPercent = 70;
+    world.advance({40000});
     CHECK(world.reports.size() >= 4);
     for (const std::pair<const int64_t, std::set<std::string>> &report : world.reports)
         CHECK(report.second.size() == 1);
@@ -282,7 +282,7 @@
     // The leader is killed and resumes at once. A window ended just before; its requests were counted by
     // another daemon, whose report arrives only now. A usage report sent at once would omit them permanently.
     RecordingLog log;
-    UsageDuty duty({10000}, log);
+    UsageReporter reporter({10000}, log);
     UsageWindows usage({5000});
     PeerTable peers({"entry-1"});
     std::shared_ptr<ServingConfiguration> configuration = std::make_shared<ServingConfiguration>();
@@ -290,24 +290,24 @@
     organisation.name.value = "a";
     configuration->organisations = {organisation};
     const Leadership leadership{true, 5, {1'000'000}, {}, {}};
-    duty.tick(leadership, usage, peers, configuration, {102'000});
-    CHECK(duty.takeStoreCalls().empty());
+    reporter.tick(leadership, usage, peers, configuration, {102'000});
+    CHECK(reporter.takeStoreCalls().empty());
     PeerReport report;
     report.incarnation.value = 2;
     report.sequence = 1;
     report.windows = {{19, {"a"}, 7}};
     peers.take(report, {102'100});
-    duty.tick(leadership, usage, peers, configuration, {104'000});
+    reporter.tick(leadership, usage, peers, configuration, {104'000});
     std::set<std::string> written;
-    for (const StoreCall &call : duty.takeStoreCalls())
+    for (const StoreCall &call : reporter.takeStoreCalls())
         written.insert(call.puts.front().key + call.puts.front().value);
     CHECK(written.contains("usage-19{\"a\":7}"));
 }
 
 TEST_CASE("windows that were reported are deleted from the store after a while")
 {
-    DutyWorld world(6);
-    world.pass({150000});
+    LeaderSimulation world(6);
+    world.advance({150000});
     CHECK(world.store.keyCount(StoreSpace::Archive) <= 14);
 }
 
@@ -316,19 +316,19 @@
     // The store is restored from a copy made before the leader won. The leader's key and lease are gone, and
     // the revision of its new key is lower than the one it acted under. Without the era in the token, the
     // receiver would take its calls for those of an earlier leader.
-    DutyWorld world(8);
-    world.pass({200});
+    LeaderSimulation world(8);
+    world.advance({200});
     world.store.saveCopy();
-    world.pass({25800});
-    const std::optional<size_t> first = world.holder();
+    world.advance({25800});
+    const std::optional<size_t> first = world.leader();
     REQUIRE(first);
     const uint64_t before = world.accepted.back().token;
     const size_t acted = world.accepted.size();
     world.store.comeBackFromCopy();
-    world.pass({1500});
-    REQUIRE(world.holder());
-    CHECK(*world.holder() == *first);
-    world.pass({20000});
+    world.advance({1500});
+    REQUIRE(world.leader());
+    CHECK(*world.leader() == *first);
+    world.advance({20000});
     REQUIRE(world.accepted.size() > acted);
     CHECK(world.accepted.back().token > before);
     checkAccepted(world.accepted);
@@ -342,20 +342,20 @@
     // lease.
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
-        DutyWorld world(seed);
-        world.pass({6000});
-        const std::optional<size_t> first = world.holder();
+        LeaderSimulation world(seed);
+        world.advance({6000});
+        const std::optional<size_t> first = world.leader();
         REQUIRE(first);
         world.store.saveCopy();
         world.store.refusedClients = {*first};
-        world.pass({9000});
-        REQUIRE(world.holder());
-        REQUIRE(*world.holder() != *first);
+        world.advance({9000});
+        REQUIRE(world.leader());
+        REQUIRE(*world.leader() != *first);
         world.store.refusedClients.clear();
         world.store.comeBackFromCopy();
         world.start(*first);
-        world.pass({15000});
-        CHECK(world.holder());
+        world.advance({15000});
+        CHECK(world.leader());
         checkAccepted(world.accepted);
         checkReports(world.reports);
     }
@@ -368,15 +368,15 @@
     // has taken.
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
-        DutyWorld world(seed);
-        world.pass({12000});
+        LeaderSimulation world(seed);
+        world.advance({12000});
         world.store.saveCopy();
-        world.pass({6000});
-        const std::optional<size_t> first = world.holder();
+        world.advance({6000});
+        const std::optional<size_t> first = world.leader();
         REQUIRE(first);
         world.store.comeBackFromCopy();
         world.start(*first);
-        world.pass({20000});
+        world.advance({20000});
         checkAccepted(world.accepted);
         checkReports(world.reports);
         CHECK(world.reports.size() >= 4);
@@ -390,8 +390,8 @@
     size_t acts = 0;
     for (uint64_t seed = 1; seed <= 150; ++seed) {
         CAPTURE(seed);
-        DutyWorld world(seed);
-        world.loseDutyReplyPercent = 20;
+        LeaderSimulation world(seed);
+        world.loseCallReplyPercent = 20;
         world.store.saveCopy();
         for (int round = 0; round < 20; ++round) {
             world.store.faults = {};
@@ -414,18 +414,18 @@
                 world.store.faults.delay = {static_cast<int64_t>(world.random.below(1500))};
             if (world.random.below(2) == 0)
                 world.store.saveCopy();
-            world.pass({static_cast<int64_t>(200 + world.random.below(6000))});
+            world.advance({static_cast<int64_t>(200 + world.random.below(6000))});
             if (world.random.below(3) == 0)
                 world.store.comeBackFromCopy();
-            if (world.random.below(4) == 0 && world.holder())
-                world.start(*world.holder());
+            if (world.random.below(4) == 0 && world.leader())
+                world.start(*world.leader());
             if (world.random.below(3) == 0)
                 world.store.saveCopy();
         }
         world.store.faults = {};
         world.store.refusedClients.clear();
-        world.pass({20000});
-        CHECK(world.holder());
+        world.advance({20000});
+        CHECK(world.leader());
         checkAccepted(world.accepted);
         checkReports(world.reports);
         acts += world.accepted.size();
@@ -440,8 +440,8 @@
     size_t acts = 0;
     for (uint64_t seed = 1; seed <= 150; ++seed) {
         CAPTURE(seed);
-        DutyWorld world(seed);
-        world.loseDutyReplyPercent = 20;
+        LeaderSimulation world(seed);
+        world.loseCallReplyPercent = 20;
         for (int round = 0; round < 12; ++round) {
             world.store.faults = {};
             world.store.refusedClients.clear();
@@ -463,7 +463,7 @@
                 world.start(daemon);
             if (fault == 7)
                 world.store.faults.delay = {static_cast<int64_t>(world.random.below(1500))};
-            world.pass({static_cast<int64_t>(500 + world.random.below(7000))});
+            world.advance({static_cast<int64_t>(500 + world.random.below(7000))});
         }
         checkAccepted(world.accepted);
         for (const std::pair<const int64_t, std::set<std::string>> &report : world.reports)
@@ -477,10 +477,10 @@
 
 /// Simulates two daemons: the first reads the store, the second queries it. The first one's replies can be
 /// held back.
-class AskingWorld
+class QuerySimulation
 {
 public:
-    AskingWorld() : store(9)
+    QuerySimulation() : store(9)
     {
         configuration = std::make_shared<ServingConfiguration>();
         configuration->version = 1;
@@ -502,7 +502,7 @@
         while (now < until) {
             now = now + Step;
             for (size_t i = 0; i < syncs.size(); ++i) {
-                if (i == 0 && readerStops)
+                if (i == 0 && readerStopped)
                     continue;
                 syncs[i]->tick(now);
                 for (const StoreCall &call : syncs[i]->takeCalls()) {
@@ -514,7 +514,7 @@
             }
             for (std::pair<size_t, StoreReply> &reply : store.replies(now))
                 syncs[reply.first]->onReply(reply.second, now);
-            const StoreSync::News news = syncs[1]->takeNews();
+            const StoreSync::Updates news = syncs[1]->takeUpdates();
             if (news.members)
                 memberCount = news.members->size();
             for (const ConfigurationRead &read : news.configurations) {
@@ -528,9 +528,9 @@
     RecordingLog log;
     std::shared_ptr<ServingConfiguration> configuration;
     TimeMs now{1'000'000};
-    bool readerStops = false;
-    bool holdAnswers = false;
-    std::vector<FreshnessAnswer> held;
+    bool readerStopped = false;
+    bool holdReplies = false;
+    std::vector<FreshnessReply> heldReplies;
     std::vector<std::unique_ptr<StoreSync>> syncs;
     size_t reads[2] = {};
     uint64_t version = 0;
@@ -540,13 +540,13 @@
 private:
     void deliver(const StoreSync::Outgoing &outgoing)
     {
-        if (const FreshnessQuestion *question = std::get_if<FreshnessQuestion>(&outgoing.message)) {
-            if (!readerStops)
-                syncs[0]->onQuestion(*question, addresses_[1], now);
-        } else if (holdAnswers) {
-            held.push_back(std::get<FreshnessAnswer>(outgoing.message));
+        if (const FreshnessQuery *question = std::get_if<FreshnessQuery>(&outgoing.message)) {
+            if (!readerStopped)
+                syncs[0]->onFreshnessQuery(*question, addresses_[1], now);
+        } else if (holdReplies) {
+            heldReplies.push_back(std::get<FreshnessReply>(outgoing.message));
         } else {
-            syncs[1]->onAnswer(std::get<FreshnessAnswer>(outgoing.message), now);
+            syncs[1]->onFreshnessReply(std::get<FreshnessReply>(outgoing.message), now);
         }
     }
 
@@ -557,7 +557,7 @@
 
 TEST_CASE("a daemon that queries a peer rarely reads the store, and sees changes in time")
 {
-    AskingWorld world;
+    QuerySimulation world;
     world.pass({5000});
     const size_t before = world.reads[1];
     world.pass({10000});
@@ -572,9 +572,9 @@
 
 TEST_CASE("a daemon whose source stops replying reads the store itself")
 {
-    AskingWorld world;
+    QuerySimulation world;
     world.pass({5000});
-    world.readerStops = true;
+    world.readerStopped = true;
     for (int i = 0; i < 20; ++i) {
         world.pass({500});
         CHECK(world.now - world.confirmedAt < DurationMs{2200});
@@ -586,7 +586,7 @@
     // The store rejects this daemon and serves the others as before, while daemons come and go. The daemon
     // must keep serving callers as long as the configuration is unchanged; without the peer's confirmation it
     // would reject every key.
-    AskingWorld world;
+    QuerySimulation world;
     world.pass({5000});
     world.store.refusedClients = {1};
     world.store.put(StoreSpace::Shared, "members/entry-9",
@@ -615,7 +615,7 @@
 {
     // Many daemons are restarted in turn. If each change made every other daemon read the store, its load
     // would grow with the square of their number.
-    AskingWorld world;
+    QuerySimulation world;
     world.pass({5000});
     const size_t before = world.reads[1];
     for (uint64_t i = 2; i < 12; ++i) {
@@ -640,15 +640,15 @@
     report.sequence = 1;
     report.ready = true;
     peers.take(report, {100});
-    CHECK_FALSE(peers.readerToAsk(true, {}, {200}));
-    REQUIRE(peers.readerToAsk(false, {}, {200}));
-    CHECK(peers.readerToAsk(false, {}, {200})->host == "10.0.0.2");
+    CHECK_FALSE(peers.readerToQuery(true, {}, {200}));
+    REQUIRE(peers.readerToQuery(false, {}, {200}));
+    CHECK(peers.readerToQuery(false, {}, {200})->host == "10.0.0.2");
     // A daemon that can't read the store has only the view received from a peer; a view taken from it would
     // have the age of both steps together.
     report.sequence = 2;
     report.readsStore = false;
     peers.take(report, {300});
-    CHECK_FALSE(peers.readerToAsk(false, {}, {400}));
+    CHECK_FALSE(peers.readerToQuery(false, {}, {400}));
 }
 
 TEST_CASE("a delayed reply makes nothing look fresher than it was")
@@ -656,15 +656,15 @@
     // The querying process pauses for four seconds while the reply waits in its socket; meanwhile its
     // configuration was removed. Processed after the pause, the reply must count from when the query was
     // sent.
-    AskingWorld world;
+    QuerySimulation world;
     world.pass({5000});
-    world.holdAnswers = true;
+    world.holdReplies = true;
     world.pass({400});
-    REQUIRE(!world.held.empty());
+    REQUIRE(!world.heldReplies.empty());
     const TimeMs sentBefore = world.now;
     world.now = world.now + DurationMs{4000};
-    for (const FreshnessAnswer &answer : world.held)
-        world.syncs[1]->onAnswer(answer, world.now);
-    for (const ConfigurationRead &read : world.syncs[1]->takeNews().configurations)
+    for (const FreshnessReply &answer : world.heldReplies)
+        world.syncs[1]->onFreshnessReply(answer, world.now);
+    for (const ConfigurationRead &read : world.syncs[1]->takeUpdates().configurations)
         CHECK(read.askedAt <= sentBefore);
 }
--- a/tests/endpointcrashes_test.cpp
+++ b/tests/endpointcrashes_test.cpp
@@ -9,7 +9,7 @@
 constexpr const char *Review = "/review/1";
 constexpr const char *Draft = "/draft/1";
 
-RequestDigest digestOfTry(const std::string &organisation, const CallerRequest &request)
+RequestDigest digestOfRequest(const std::string &organisation, const CallerRequest &request)
 {
     return digestOf({organisation}, request.path, request.body);
 }
@@ -45,9 +45,9 @@
     // leaves, says nothing about a later interruption.
     request(Review);
     broken(sent[0].attempt);
-    gateway.onEngineProbed({sent[0].endpoint, {}, true, false, {}, EndpointProcess::Runs}, now);
+    gateway.onEngineProbed({sent[0].endpoint, {}, true, false, {}, EndpointProcess::Running}, now);
     CHECK(gateway.counters().of(GatewayCount::EndpointsOutlivedBreaks) == 0);
-    gateway.onEngineProbed({sent[0].endpoint, {}, true, false, {}, EndpointProcess::Runs, true}, now);
+    gateway.onEngineProbed({sent[0].endpoint, {}, true, false, {}, EndpointProcess::Running, true}, now);
     CHECK(gateway.counters().of(GatewayCount::EndpointsOutlivedBreaks) == 1);
     request(Draft);
     const SendAttempt silent = lastSent();
@@ -66,7 +66,7 @@
     listEndpoints();
     request(Draft);
     broken(sent[0].attempt);
-    gateway.onEngineProbed({sent[0].endpoint, {2000}, true, false, {}, EndpointProcess::Runs, true}, now);
+    gateway.onEngineProbed({sent[0].endpoint, {2000}, true, false, {}, EndpointProcess::Running, true}, now);
     CHECK(gateway.counters().of(GatewayCount::EndpointsEnded) == 1);
 }
 
@@ -79,18 +79,18 @@
     request.path = "/review/1";
     request.target = "/review/1?try=1";
     request.body = "body";
-    const RequestDigest digest = digestOfTry("a", request);
+    const RequestDigest digest = digestOfRequest("a", request);
     CallerRequest again = request;
     again.id = "2";
     again.target = "/review/1?try=2";
     again.forwarded.push_back({"X-Try", "2"});
-    CHECK(digestOfTry("a", again) == digest);
-    CHECK(digestOfTry("b", request) != digest);
+    CHECK(digestOfRequest("a", again) == digest);
+    CHECK(digestOfRequest("b", request) != digest);
     again.path = "/review/2";
-    CHECK(digestOfTry("a", again) != digest);
+    CHECK(digestOfRequest("a", again) != digest);
     again = request;
     again.body = "other";
-    CHECK(digestOfTry("a", again) != digest);
+    CHECK(digestOfRequest("a", again) != digest);
     CHECK(requestDigestFromText(toText(digest)) == digest);
     CHECK_FALSE(requestDigestFromText("0000000000000000"));
     CHECK_FALSE(requestDigestFromText("xyz"));
--- a/tests/endpointincarnations_test.cpp
+++ b/tests/endpointincarnations_test.cpp
@@ -166,18 +166,18 @@
 namespace {
 
 // One endpoint and all events around its incarnations, in every order up to a depth.
-struct Lives {
+struct IncarnationsState {
     EndpointFleet fleet;
     TimeMs now{10'000};
-    int64_t newestTold = 0; ///< Newest start time in a list or a report.
+    int64_t newestStart = 0; ///< Newest start time in a list or a report.
     bool newestLeaves = false;
     bool unreadable = false;
-    std::vector<EndpointLife> open; ///< Open attempts, by the incarnation that they were sent to.
+    std::vector<EndpointIncarnation> open; ///< Open attempts, by the incarnation that they were sent to.
 };
 
 const ServiceName plain{"plain"};
 
-void list(Lives &lives, int64_t start, bool leaving, bool readable)
+void list(IncarnationsState &lives, int64_t start, bool leaving, bool readable)
 {
     EndpointEntry entry;
     entry.id.value = "e";
@@ -186,77 +186,77 @@
     entry.start.unixMs = start;
     entry.leaving = leaving;
     entry.readable = readable;
-    lives.fleet.take({{entry}, lives.now}, lives.now);
+    lives.fleet.applyList({{entry}, lives.now}, lives.now);
     lives.unreadable = !readable;
     if (!readable)
         return;
-    if (start > lives.newestTold)
+    if (start > lives.newestStart)
         lives.newestLeaves = false;
-    if (start >= lives.newestTold)
+    if (start >= lives.newestStart)
         lives.newestLeaves = lives.newestLeaves || leaving;
-    lives.newestTold = std::max(lives.newestTold, start);
+    lives.newestStart = std::max(lives.newestStart, start);
 }
 
-void report(Lives &lives, int64_t start)
+void report(IncarnationsState &lives, int64_t start)
 {
-    if (lives.newestTold == 0)
+    if (lives.newestStart == 0)
         return;
-    lives.fleet.answered({{"e"}, {start}}, lives.now);
-    if (start > lives.newestTold)
+    lives.fleet.confirmIncarnation({{"e"}, {start}}, lives.now);
+    if (start > lives.newestStart)
         lives.newestLeaves = false;
-    lives.newestTold = std::max(lives.newestTold, start);
+    lives.newestStart = std::max(lives.newestStart, start);
 }
 
-void send(Lives &lives)
+void send(IncarnationsState &lives)
 {
-    PlacementQuestion question;
+    PlacementQuery question;
     question.service = plain;
     CallerRequest request;
     question.request = &request;
     const PlacementResult result = lives.fleet.choose(question, lives.now);
-    const bool usable = lives.newestTold > 0 && !lives.newestLeaves && !lives.unreadable;
+    const bool usable = lives.newestStart > 0 && !lives.newestLeaves && !lives.unreadable;
     CHECK(result.choice.has_value() == usable);
     if (!result.choice)
         return;
-    lives.fleet.started(*result.choice, question, lives.now);
-    lives.open.push_back(lives.fleet.find(result.choice->endpoint)->life());
+    lives.fleet.attemptStarted(*result.choice, question, lives.now);
+    lives.open.push_back(lives.fleet.find(result.choice->endpoint)->incarnation());
 }
 
-void finishOldest(Lives &lives)
+void finishOldest(IncarnationsState &lives)
 {
     if (lives.open.empty())
         return;
     lives.fleet.firstByte(lives.open.front(), 0);
-    lives.fleet.finished(lives.open.front(), false);
+    lives.fleet.attemptFinished(lives.open.front(), false);
     lives.fleet.succeeded(lives.open.front());
     lives.open.erase(lives.open.begin());
 }
 
-const std::vector<std::function<void(Lives &)>> steps = {
-    [](Lives &lives) { list(lives, 1, false, true); },
-    [](Lives &lives) { list(lives, 1, true, true); },
-    [](Lives &lives) { list(lives, 2, false, true); },
-    [](Lives &lives) { list(lives, 3, true, true); },
-    [](Lives &lives) { list(lives, 0, false, false); },
-    [](Lives &lives) { report(lives, 2); },
-    [](Lives &lives) { send(lives); },
+const std::vector<std::function<void(IncarnationsState &)>> steps = {
+    [](IncarnationsState &lives) { list(lives, 1, false, true); },
+    [](IncarnationsState &lives) { list(lives, 1, true, true); },
+    [](IncarnationsState &lives) { list(lives, 2, false, true); },
+    [](IncarnationsState &lives) { list(lives, 3, true, true); },
+    [](IncarnationsState &lives) { list(lives, 0, false, false); },
+    [](IncarnationsState &lives) { report(lives, 2); },
+    [](IncarnationsState &lives) { send(lives); },
     finishOldest,
 };
 
-void explore(const Lives &lives, int depth)
+void explore(const IncarnationsState &lives, int depth)
 {
     if (const FleetEndpoint *endpoint = lives.fleet.find(EndpointId{"e"})) {
-        const auto running = std::count(lives.open.begin(), lives.open.end(), endpoint->life());
+        const auto running = std::count(lives.open.begin(), lives.open.end(), endpoint->incarnation());
         REQUIRE(endpoint->running == static_cast<uint32_t>(running));
-        REQUIRE(endpoint->entry.start.unixMs == lives.newestTold);
+        REQUIRE(endpoint->entry.start.unixMs == lives.newestStart);
         REQUIRE(endpoint->entry.leaving == lives.newestLeaves);
     } else {
-        REQUIRE(lives.newestTold == 0);
+        REQUIRE(lives.newestStart == 0);
     }
     if (depth == 0)
         return;
-    for (const std::function<void(Lives &)> &step : steps) {
-        Lives next = lives;
+    for (const std::function<void(IncarnationsState &)> &step : steps) {
+        IncarnationsState next = lives;
         next.now = next.now + DurationMs{100};
         step(next);
         explore(next, depth - 1);
@@ -271,5 +271,5 @@
     // earlier incarnations arrive at any time. In any order, the newest incarnation counts, only its own
     // requests are its load, and nothing is sent to one that leaves or whose entry can't be read. 8 steps,
     // all sequences of 6 of them.
-    explore(Lives{}, 6);
+    explore(IncarnationsState{}, 6);
 }
--- a/tests/endpointlimits_explorer_test.cpp
+++ b/tests/endpointlimits_explorer_test.cpp
@@ -20,36 +20,36 @@
 constexpr DurationMs MessageTime{25};
 constexpr DurationMs Window{4000};
 constexpr DurationMs SettleTime{3000};
-constexpr DurationMs TellTime{500};
+constexpr DurationMs NotificationTime{500};
 constexpr DurationMs LeaseTime{3000};
-constexpr DurationMs ListPace{600};
-constexpr DurationMs CoordinatorsPace{200};
-constexpr uint32_t MostQueued = 20;
+constexpr DurationMs ListInterval{600};
+constexpr DurationMs CoordinatorInterval{200};
+constexpr uint32_t MaxQueued = 20;
 
-const EndpointLife endpoint{EndpointId{"i-1"}, {}};
+const EndpointIncarnation endpoint{EndpointId{"i-1"}, {}};
 
 /// How the daemons keep the endpoint's limit.
-enum class Way : uint8_t {
+enum class LimitStrategy : uint8_t {
     Coordinator, ///< As implemented.
     EqualParts, ///< Each daemon sends an equal part of the rate.
-    EachForItself ///< Each daemon sends the full rate.
+    Uncoordinated ///< Each daemon sends the full rate.
 };
 
-struct World {
+struct LimitScenario {
     size_t daemons = 6;
     size_t serving = 6; ///< The others are standby daemons: they get no updates, and have few requests.
     double perSecond = 1;
     double demand = 30; ///< Requests per second that all daemons together would send to the endpoint.
-    Way way = Way::Coordinator;
-    bool tells = true; ///< Daemons send each other limit updates.
+    LimitStrategy strategy = LimitStrategy::Coordinator;
+    bool sendsUpdates = true; ///< Daemons send each other limit updates.
     uint64_t lossPercent = 0;
 };
 
 /// Simulates a scenario, with the faults that tests inject into its daemons.
-class LimitPlay
+class LimitSimulation
 {
 public:
-    LimitPlay(const World &world, uint64_t seed) : world_(world), random_(seed)
+    LimitSimulation(const LimitScenario &world, uint64_t seed) : world_(world), random_(seed)
     {
         group.resize(world.daemons);
         daemons_.resize(world.daemons);
@@ -66,7 +66,7 @@
             deliver();
             for (size_t i = 0; i < world_.daemons; ++i) {
                 if (now >= daemons_[i]->awayUntil)
-                    run(i);
+                    tickDaemon(i);
             }
         }
     }
@@ -78,14 +78,14 @@
     }
     void freeze(size_t i, DurationMs away) { daemons_[i]->awayUntil = now + away; }
     /// Requests per second that the endpoint got once the limit had settled.
-    double used() const { return static_cast<double>(settled_) / std::max(settledSeconds(), 0.001); }
-    double allowed() const { return 1.5 * world_.perSecond * 4 + 5; }
+    double usedPerSecond() const { return static_cast<double>(settled_) / std::max(settledSeconds(), 0.001); }
+    double allowedInWindow() const { return 1.5 * world_.perSecond * 4 + 5; }
 
     Random &random() { return random_; }
     TimeMs now{100'000};
     std::vector<uint32_t> group; ///< Daemons receive messages only from those of their own group.
-    size_t most = 0; ///< Max requests in any window from daemons that had been notified of the limit.
-    size_t mostAtOnce = 0; ///< Max requests in any window from all daemons.
+    size_t maxInWindow = 0; ///< Max requests in any window from daemons that had been notified of the limit.
+    size_t maxInWindowFromAll = 0; ///< Max requests in any window from all daemons.
 
 private:
     struct Daemon {
@@ -95,7 +95,7 @@
         Incarnation incarnation;
         std::optional<Address> coordinator;
         TimeMs coordinatorAt;
-        std::optional<TimeMs> toldAt;
+        std::optional<TimeMs> notifiedAt;
         TimeMs awayUntil;
         TimeMs listAt;
         TimeMs reportAt;
@@ -110,7 +110,7 @@
         TimeMs at;
         Incarnation incarnation;
     };
-    using Message = std::variant<PeerReport, LimitNotice, LimitAsk, LimitGrant>;
+    using Message = std::variant<PeerReport, LimitNotice, LimitShareRequest, LimitShareGrant>;
     struct Envelope {
         size_t from = 0;
         size_t to = 0;
@@ -123,7 +123,7 @@
     Address addressOf(size_t i) const { return {"10.0.0.1", static_cast<uint16_t>(i + 1)}; }
     double settledSeconds() const
     {
-        return namedAt_ ? static_cast<double>((now - *namedAt_ - SettleTime).count) / 1000.0 : 0;
+        return limitStatedAt_ ? static_cast<double>((now - *limitStatedAt_ - SettleTime).count) / 1000.0 : 0;
     }
 
     void start(size_t i)
@@ -133,7 +133,7 @@
         daemons_[i]->startedAt = now;
     }
 
-    void tell(size_t from, const Address &to, const Message &message)
+    void sendMessage(size_t from, const Address &to, const Message &message)
     {
         const size_t index = to.port - 1U;
         if (group[from] == group[index] && random_.below(100) >= world_.lossPercent)
@@ -151,11 +151,11 @@
             if (const PeerReport *report = std::get_if<PeerReport>(&envelope.message))
                 daemon.peers.take(*report, now);
             else if (const LimitNotice *notice = std::get_if<LimitNotice>(&envelope.message))
-                daemon.limiter.stated.learn(notice->words.front(), now);
-            else if (const LimitAsk *ask = std::get_if<LimitAsk>(&envelope.message))
-                daemon.limiter.onAsk(addressOf(envelope.from), *ask, now);
-            else if (const LimitGrant *grant = std::get_if<LimitGrant>(&envelope.message))
-                daemon.limiter.take(*grant, now);
+                daemon.limiter.stated.updateFromPeer(notice->updates.front(), now);
+            else if (const LimitShareRequest *ask = std::get_if<LimitShareRequest>(&envelope.message))
+                daemon.limiter.onShareRequest(addressOf(envelope.from), *ask, now);
+            else if (const LimitShareGrant *grant = std::get_if<LimitShareGrant>(&envelope.message))
+                daemon.limiter.applyGrant(*grant, now);
         }
     }
 
@@ -167,9 +167,9 @@
             Daemon &daemon = *daemons_[answer.to];
             if (now < daemon.awayUntil || daemon.incarnation != answer.incarnation)
                 continue;
-            if (!daemon.toldAt)
-                daemon.toldAt = now;
-            daemon.limiter.stated.hear(RequestRate{world_.perSecond}, answer.sentAt, now);
+            if (!daemon.notifiedAt)
+                daemon.notifiedAt = now;
+            daemon.limiter.stated.updateFromAnswer(RequestRate{world_.perSecond}, answer.sentAt, now);
         }
     }
 
@@ -177,33 +177,34 @@
     {
         Daemon &daemon = *daemons_[i];
         answers_.push_back({i, now, now + AnswerTime, daemon.incarnation});
-        if (!namedAt_)
-            namedAt_ = now;
-        const bool isTold = daemon.toldAt && now - *daemon.toldAt >= TellTime;
-        arrivals_.emplace_back(now, isTold);
+        if (!limitStatedAt_)
+            limitStatedAt_ = now;
+        const bool isNotified = daemon.notifiedAt && now - *daemon.notifiedAt >= NotificationTime;
+        arrivals_.emplace_back(now, isNotified);
         while (now - arrivals_.front().first >= Window)
             arrivals_.pop_front();
-        if (now - *namedAt_ < SettleTime)
+        if (now - *limitStatedAt_ < SettleTime)
             return;
         ++settled_;
-        const auto told = std::count_if(arrivals_.begin(), arrivals_.end(),
-                                        [](const std::pair<TimeMs, bool> &each) { return each.second; });
-        most = std::max(most, static_cast<size_t>(told));
-        mostAtOnce = std::max(mostAtOnce, arrivals_.size());
+        const auto notifiedCount
+            = std::count_if(arrivals_.begin(), arrivals_.end(),
+                            [](const std::pair<TimeMs, bool> &each) { return each.second; });
+        maxInWindow = std::max(maxInWindow, static_cast<size_t>(notifiedCount));
+        maxInWindowFromAll = std::max(maxInWindowFromAll, arrivals_.size());
     }
 
-    void run(size_t i)
+    void tickDaemon(size_t i)
     {
         Daemon &daemon = *daemons_[i];
         if (now >= daemon.listAt) {
-            daemon.listAt = now + ListPace;
-            list(daemon);
+            daemon.listAt = now + ListInterval;
+            refreshMembers(daemon);
         }
         const double part = serves(i) ? 0.95 / static_cast<double>(world_.serving)
                                       : 0.05 / static_cast<double>(world_.daemons - world_.serving);
         const double arrivals = world_.demand * part * static_cast<double>(Step.count) / 1000.0;
         const uint64_t chance = static_cast<uint64_t>(arrivals * 1'000'000);
-        if (random_.below(1'000'000) < chance && daemon.queued < MostQueued)
+        if (random_.below(1'000'000) < chance && daemon.queued < MaxQueued)
             ++daemon.queued;
         coordinate(i);
         while (daemon.queued > 0 && maySend(daemon)) {
@@ -215,7 +216,7 @@
         report(i);
     }
 
-    void list(Daemon &daemon) const
+    void refreshMembers(Daemon &daemon) const
     {
         std::vector<MemberEntry> members;
         for (size_t j = 0; j < world_.daemons; ++j) {
@@ -230,7 +231,7 @@
 
     bool maySend(const Daemon &daemon) const
     {
-        if (world_.way == Way::Coordinator || !daemon.limiter.stated.limit())
+        if (world_.strategy == LimitStrategy::Coordinator || !daemon.limiter.stated.limit())
             return daemon.limiter.maySend(now);
         return daemon.tokens >= 1;
     }
@@ -238,8 +239,9 @@
     void coordinate(size_t i)
     {
         Daemon &daemon = *daemons_[i];
-        if (world_.way != Way::Coordinator) {
-            const double part = world_.way == Way::EqualParts ? static_cast<double>(world_.daemons) : 1.0;
+        if (world_.strategy != LimitStrategy::Coordinator) {
+            const double part
+                = world_.strategy == LimitStrategy::EqualParts ? static_cast<double>(world_.daemons) : 1.0;
             daemon.tokens = std::min(
                 1.0, daemon.tokens + world_.perSecond / part * static_cast<double>(Step.count) / 1000);
             return;
@@ -247,21 +249,23 @@
         if (!daemon.limiter.isActive())
             return;
         if (now >= daemon.coordinatorAt) {
-            daemon.coordinatorAt = now + CoordinatorsPace;
-            const MemberEntry *chosen = coordinatorOf(endpoint, daemon.peers.presentSharers(now));
+            daemon.coordinatorAt = now + CoordinatorInterval;
+            const MemberEntry *chosen = coordinatorOf(endpoint, daemon.peers.presentServing(now));
             daemon.limiter.setCoordinator(chosen && chosen->incarnation == daemon.incarnation, now);
             daemon.coordinator = chosen ? std::optional<Address>(chosen->peerAddress) : std::nullopt;
         }
-        daemon.limiter.want(daemon.queued);
-        for (const EndpointLimiter::Grant &share : daemon.limiter.share(endpoint, daemon.incarnation, now))
-            tell(i, share.to, share.grant);
+        daemon.limiter.setQueuedRequests(daemon.queued);
+        for (const EndpointLimiter::Grant &share :
+             daemon.limiter.grantShares(endpoint, daemon.incarnation, now))
+            sendMessage(i, share.to, share.grant);
         if (daemon.coordinator) {
-            if (const std::optional<LimitAsk> ask = daemon.limiter.dueAsk(endpoint, now))
-                tell(i, *daemon.coordinator, *ask);
+            if (const std::optional<LimitShareRequest> ask = daemon.limiter.dueShareRequest(endpoint, now))
+                sendMessage(i, *daemon.coordinator, *ask);
         }
-        if (world_.tells && daemon.limiter.stated.isTellingDue(daemon.limiter.isCoordinator(), now)) {
+        if (world_.sendsUpdates && daemon.limiter.stated.isUpdateDue(daemon.limiter.isCoordinator(), now)) {
             for (const MemberEntry *target : daemon.peers.reportTargets())
-                tell(i, target->peerAddress, LimitNotice{{daemon.limiter.stated.word(endpoint, now)}});
+                sendMessage(i, target->peerAddress,
+                            LimitNotice{{daemon.limiter.stated.toUpdate(endpoint, now)}});
         }
     }
 
@@ -270,16 +274,16 @@
         Daemon &daemon = *daemons_[i];
         if (!serves(i) || now < daemon.reportAt)
             return;
-        daemon.reportAt = now + daemon.peers.reportPace();
+        daemon.reportAt = now + daemon.peers.reportInterval();
         PeerReport report;
         report.incarnation = daemon.incarnation;
         report.sequence = ++daemon.sequence;
         report.ready = true;
         for (const MemberEntry *target : daemon.peers.reportTargets())
-            tell(i, target->peerAddress, report);
+            sendMessage(i, target->peerAddress, report);
     }
 
-    const World world_;
+    const LimitScenario world_;
     Random random_;
     std::vector<std::unique_ptr<Daemon>> daemons_;
     uint64_t incarnations_ = 0;
@@ -287,13 +291,13 @@
     std::deque<Answer> answers_;
     /// Requests in the newest window; true: from a daemon that had been notified of the limit.
     std::deque<std::pair<TimeMs, bool>> arrivals_;
-    std::optional<TimeMs> namedAt_;
+    std::optional<TimeMs> limitStatedAt_;
     size_t settled_ = 0;
 };
 
-World worldOf(size_t daemons, size_t serving, double perSecond)
+LimitScenario scenarioOf(size_t daemons, size_t serving, double perSecond)
 {
-    World world;
+    LimitScenario world;
     world.daemons = daemons;
     world.serving = serving;
     world.perSecond = perSecond;
@@ -315,14 +319,15 @@
          {Size{2, 2}, Size{19, 19}, Size{71, 71}, Size{71, 18}, Size{295, 18}, Size{890, 18}}) {
         for (const double perSecond : {0.1, 1.0, 20.0}) {
             for (const bool tells : {true, false}) {
-                World world = worldOf(size.daemons, size.serving, perSecond);
-                world.tells = tells;
-                LimitPlay play(world, 1);
+                LimitScenario world = scenarioOf(size.daemons, size.serving, perSecond);
+                world.sendsUpdates = tells;
+                LimitSimulation play(world, 1);
                 play.pass({20000});
                 INFO(fmt::format(
                     "{} daemons, {} serving, {}/s, updates: {}, max {} (from all {}), {:.2f} used",
-                    size.daemons, size.serving, perSecond, tells, play.most, play.mostAtOnce, play.used()));
-                CHECK(static_cast<double>(play.most) <= play.allowed());
+                    size.daemons, size.serving, perSecond, tells, play.maxInWindow, play.maxInWindowFromAll,
+                    play.usedPerSecond()));
+                CHECK(static_cast<double>(play.maxInWindow) <= play.allowedInWindow());
             }
         }
     }
@@ -332,11 +337,11 @@
 TEST_CASE("the endpoint's rate is used, however many daemons there are")
 {
     for (const size_t daemons : {2, 19, 71}) {
-        LimitPlay play(worldOf(daemons, daemons, 2), 1);
+        LimitSimulation play(scenarioOf(daemons, daemons, 2), 1);
         play.pass({30000});
-        INFO(daemons << " daemons, used " << play.used());
-        CHECK(play.used() > 1.6);
-        CHECK(play.used() < 2.2);
+        INFO(daemons << " daemons, used " << play.usedPerSecond());
+        CHECK(play.usedPerSecond() > 1.6);
+        CHECK(play.usedPerSecond() < 2.2);
     }
 }
 
@@ -345,9 +350,9 @@
 TEST_CASE("the limit holds through partitions, kills, pauses and losses")
 {
     for (uint64_t seed = 1; seed <= 60; ++seed) {
-        World world = worldOf(6, 6, seed % 3 == 0 ? 10 : 1);
+        LimitScenario world = scenarioOf(6, 6, seed % 3 == 0 ? 10 : 1);
         world.lossPercent = seed % 4 * 10;
-        LimitPlay play(world, seed);
+        LimitSimulation play(world, seed);
         play.pass({6000});
         for (int i = 0; i < 8; ++i) {
             const size_t which = play.random().below(6);
@@ -369,25 +374,25 @@
             }
             play.pass({static_cast<int64_t>(200 + play.random().below(4000))});
         }
-        INFO("seed " << seed << " max " << play.most);
-        CHECK(static_cast<double>(play.most) <= play.allowed());
+        INFO("seed " << seed << " max " << play.maxInWindow);
+        CHECK(static_cast<double>(play.maxInWindow) <= play.allowedInWindow());
     }
 }
 
 // Guards against splitting or copying the rate to each daemon: most of it is unused, or the sum exceeds it.
 TEST_CASE("neither equal parts nor uncoordinated daemons keep one request a second over many daemons")
 {
-    const auto playWay = [](Way way) {
-        World world = worldOf(19, 19, 1);
-        world.way = way;
-        LimitPlay play(world, 1);
+    const auto simulate = [](LimitStrategy way) {
+        LimitScenario world = scenarioOf(19, 19, 1);
+        world.strategy = way;
+        LimitSimulation play(world, 1);
         play.pass({40000});
         return play;
     };
-    const LimitPlay coordinated = playWay(Way::Coordinator);
-    CHECK(coordinated.used() > 0.95);
-    CHECK(static_cast<double>(coordinated.most) <= coordinated.allowed());
-    CHECK(playWay(Way::EqualParts).used() < 0.7);
-    const LimitPlay each = playWay(Way::EachForItself);
-    CHECK(static_cast<double>(each.most) > each.allowed());
+    const LimitSimulation coordinated = simulate(LimitStrategy::Coordinator);
+    CHECK(coordinated.usedPerSecond() > 0.95);
+    CHECK(static_cast<double>(coordinated.maxInWindow) <= coordinated.allowedInWindow());
+    CHECK(simulate(LimitStrategy::EqualParts).usedPerSecond() < 0.7);
+    const LimitSimulation each = simulate(LimitStrategy::Uncoordinated);
+    CHECK(static_cast<double>(each.maxInWindow) > each.allowedInWindow());
 }
--- a/tests/endpointlimits_test.cpp
+++ b/tests/endpointlimits_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Incarnation Self{7};
-const EndpointLife engine{EndpointId{"m1"}, {}};
+const EndpointIncarnation engine{EndpointId{"m1"}, {}};
 const Address otherDaemon{"10.0.0.2", 2};
 const Address thirdDaemon{"10.0.0.2", 3};
 
@@ -42,14 +42,14 @@
         while (now < until) {
             now = now + DurationMs{25};
             limiter.setCoordinator(coordinates, now);
-            for (const EndpointLimiter::Grant &share : limiter.share(engine, Self, now)) {
+            for (const EndpointLimiter::Grant &share : limiter.grantShares(engine, Self, now)) {
                 granted += share.grant.requests;
                 shares.push_back(share);
             }
         }
         return granted;
     }
-    void name(double perSecond) { limiter.stated.hear(RequestRate{perSecond}, now, now); }
+    void stateLimit(double perSecond) { limiter.stated.updateFromAnswer(RequestRate{perSecond}, now, now); }
 
     EndpointLimiter limiter;
     TimeMs now{100'000};
@@ -161,10 +161,10 @@
 // save up.
 TEST_CASE_FIXTURE(LimiterFixture, "a coordinator grants the rate and no more")
 {
-    name(2);
+    stateLimit(2);
     uint32_t granted = 0;
     for (uint64_t number = 1; number <= 100; ++number) {
-        limiter.onAsk(otherDaemon, {engine, number, 50}, now);
+        limiter.onShareRequest(otherDaemon, {engine, number, 50}, now);
         granted += pass({100});
     }
     CHECK(granted >= 18);
@@ -174,11 +174,11 @@
 // Guards against one daemon that gets all grants while the others' callers are refused.
 TEST_CASE_FIXTURE(LimiterFixture, "waiting daemons are served in turn, the coordinator among them")
 {
-    name(2);
+    stateLimit(2);
     for (uint64_t number = 1; number <= 60; ++number) {
-        limiter.onAsk(otherDaemon, {engine, number, 50}, now);
-        limiter.onAsk(thirdDaemon, {engine, number, 1}, now);
-        limiter.want(50);
+        limiter.onShareRequest(otherDaemon, {engine, number, 50}, now);
+        limiter.onShareRequest(thirdDaemon, {engine, number, 1}, now);
+        limiter.setQueuedRequests(50);
         pass({100});
         if (limiter.maySend(now))
             limiter.sent(now);
@@ -195,20 +195,20 @@
 TEST_CASE_FIXTURE(LimiterFixture, "a new coordinator waits until all earlier grants have expired")
 {
     coordinates = false;
-    name(5);
+    stateLimit(5);
     pass({5000});
     coordinates = true;
-    limiter.onAsk(otherDaemon, {engine, 1, 50}, now);
+    limiter.onShareRequest(otherDaemon, {engine, 1, 50}, now);
     pass({25});
     CHECK_FALSE(limiter.maySend(now));
     uint32_t granted = 0;
     for (uint64_t number = 1; number <= 19; ++number) {
-        limiter.onAsk(otherDaemon, {engine, number, 50}, now);
+        limiter.onShareRequest(otherDaemon, {engine, number, 50}, now);
         granted += pass({100});
     }
     CHECK(granted == 0);
     for (uint64_t number = 20; number <= 30; ++number) {
-        limiter.onAsk(otherDaemon, {engine, number, 50}, now);
+        limiter.onShareRequest(otherDaemon, {engine, number, 50}, now);
         granted += pass({100});
     }
     CHECK(granted > 0);
@@ -217,7 +217,7 @@
 // Guards against a daemon that was paused, is no longer the coordinator, and still uses its saved grants.
 TEST_CASE_FIXTURE(LimiterFixture, "a coordinator that was paused starts anew")
 {
-    name(5);
+    stateLimit(5);
     pass({3000});
     REQUIRE(limiter.maySend(now));
     now = now + DurationMs{4000};
@@ -229,25 +229,25 @@
 TEST_CASE_FIXTURE(LimiterFixture, "a grant is used once, and in time")
 {
     coordinates = false;
-    name(1);
+    stateLimit(1);
     pass({25});
     CHECK_FALSE(limiter.maySend(now));
-    limiter.want(3);
-    const std::optional<LimitAsk> ask = limiter.dueAsk(engine, now);
+    limiter.setQueuedRequests(3);
+    const std::optional<LimitShareRequest> ask = limiter.dueShareRequest(engine, now);
     REQUIRE(ask);
     CHECK(ask->waiting == 3);
-    CHECK_FALSE(limiter.dueAsk(engine, now));
-    const LimitGrant grant{engine, {9}, ask->number, 1, 1, 4};
-    limiter.take(grant, now);
-    limiter.take(grant, now);
+    CHECK_FALSE(limiter.dueShareRequest(engine, now));
+    const LimitShareGrant grant{engine, {9}, ask->number, 1, 1, 4};
+    limiter.applyGrant(grant, now);
+    limiter.applyGrant(grant, now);
     CHECK(limiter.waiting(now) == 4);
     REQUIRE(limiter.maySend(now));
     limiter.sent(now);
     CHECK_FALSE(limiter.maySend(now));
-    limiter.take({engine, {9}, ask->number, 2, 1, 4}, now);
+    limiter.applyGrant({engine, {9}, ask->number, 2, 1, 4}, now);
     now = now + DurationMs{600};
     CHECK_FALSE(limiter.maySend(now));
-    limiter.take({engine, {9}, ask->number, 3, 1, 4}, now);
+    limiter.applyGrant({engine, {9}, ask->number, 3, 1, 4}, now);
     CHECK_FALSE(limiter.maySend(now));
 }
 
@@ -257,15 +257,16 @@
 {
     const TimeMs before = now;
     now = now + DurationMs{100};
-    name(1);
-    CHECK_FALSE(limiter.stated.hear(std::nullopt, before, now + DurationMs{50}));
+    stateLimit(1);
+    CHECK_FALSE(limiter.stated.updateFromAnswer(std::nullopt, before, now + DurationMs{50}));
     CHECK(limiter.stated.limit());
     for (int i = 0; i < 4; ++i)
-        CHECK(limiter.stated.hear(std::nullopt, now + DurationMs{10}, now + DurationMs{50}));
+        CHECK(limiter.stated.updateFromAnswer(std::nullopt, now + DurationMs{10}, now + DurationMs{50}));
     CHECK_FALSE(limiter.stated.limit());
     // What another daemon learned before that does not restore the limit.
-    CHECK_FALSE(limiter.stated.learn({engine, RequestRate{1}, 0, {80}, {500}}, now + DurationMs{60}));
-    CHECK(limiter.stated.learn({engine, RequestRate{2}, 0, {1}, {1}}, now + DurationMs{60}));
+    CHECK_FALSE(
+        limiter.stated.updateFromPeer({engine, RequestRate{1}, 0, {80}, {500}}, now + DurationMs{60}));
+    CHECK(limiter.stated.updateFromPeer({engine, RequestRate{2}, 0, {1}, {1}}, now + DurationMs{60}));
     CHECK(limiter.stated.limit() == RequestRate{2});
 }
 
@@ -273,19 +274,19 @@
 TEST_CASE_FIXTURE(LimiterFixture,
                   "a limit is lifted step by step, and the next answer that states it restores it")
 {
-    name(1);
+    stateLimit(1);
     for (const double perSecond : {2.0, 4.0, 8.0}) {
         now = now + DurationMs{500};
-        limiter.stated.hear(std::nullopt, now, now);
+        limiter.stated.updateFromAnswer(std::nullopt, now, now);
         CHECK(limiter.stated.perSecond() == perSecond);
     }
-    name(1);
+    stateLimit(1);
     CHECK(limiter.stated.perSecond() == 1);
     EndpointLimiter other;
     now = now + DurationMs{500};
-    limiter.stated.hear(std::nullopt, now, now);
+    limiter.stated.updateFromAnswer(std::nullopt, now, now);
     now = now + DurationMs{1};
-    CHECK(other.stated.learn(limiter.stated.word(engine, now), now));
+    CHECK(other.stated.updateFromPeer(limiter.stated.toUpdate(engine, now), now));
     CHECK(other.stated.perSecond() == 2);
 }
 
@@ -305,7 +306,7 @@
 // recovered.
 TEST_CASE_FIXTURE(LimiterFixture, "an endpoint with a zero limit still gets an occasional request")
 {
-    name(0);
+    stateLimit(0);
     uint32_t tries = 0;
     for (int i = 0; i < 200; ++i) {
         pass({100});
@@ -321,11 +322,11 @@
 // Guards against a daemon that lost the first updates on a limit and exceeds it.
 TEST_CASE_FIXTURE(LimiterFixture, "peers are notified of a limit at once, again, and reminded")
 {
-    name(1);
+    stateLimit(1);
     std::vector<int64_t> toldAfter;
     const TimeMs start = now;
     while (now < start + DurationMs{12500}) {
-        if (limiter.stated.isTellingDue(limiter.isCoordinator(), now))
+        if (limiter.stated.isUpdateDue(limiter.isCoordinator(), now))
             toldAfter.push_back((now - start).count);
         pass({25});
     }
@@ -345,7 +346,7 @@
     const std::vector<const MemberEntry *> backward(forward.rbegin(), forward.rend());
     std::map<Incarnation, int> load;
     for (int i = 0; i < 240; ++i) {
-        const EndpointLife endpoint{EndpointId{"i-" + std::to_string(i)}, {}};
+        const EndpointIncarnation endpoint{EndpointId{"i-" + std::to_string(i)}, {}};
         const MemberEntry *coordinator = coordinatorOf(endpoint, forward);
         REQUIRE(coordinator);
         CHECK(coordinator == coordinatorOf(endpoint, backward));
@@ -439,7 +440,7 @@
 TEST_CASE_FIXTURE(LimitedGatewayFixture,
                   "a generation migrates to a limited engine only with a grant, counted once")
 {
-    configuration->services[0].engine->movesRuns = true;
+    configuration->services[0].engine->migratesGenerations = true;
     for (int i = 0; i < 12; ++i) {
         CallerRequest draft = makeRequest("/draft/1");
         draft.outputTokens = 300;
@@ -475,9 +476,9 @@
     pass({25});
     REQUIRE(moves.size() == 2);
     const size_t before = sent.size();
-    for (const MoveRun &move : std::vector<MoveRun>(moves)) {
+    for (const MigrateGeneration &move : std::vector<MigrateGeneration>(moves)) {
         broken(move.attempt);
-        gateway.onRunMoved({move.attempt, MoveOutcome::Moved, "h1"}, now);
+        gateway.onGenerationMigrated({move.attempt, MigrationOutcome::Migrated, "h1"}, now);
         drainActions();
     }
     CHECK(sent.size() == before + 2);
@@ -494,20 +495,20 @@
     REQUIRE(read);
     const LimitNotice *words = std::get_if<LimitNotice>(&*read);
     REQUIRE(words);
-    REQUIRE(words->words.size() == 2);
-    CHECK(words->words[0].endpoint == engine);
-    CHECK(words->words[0].limit == RequestRate{1.1});
-    CHECK(words->words[0].clears == 2);
-    CHECK(words->words[0].age == DurationMs{250});
-    CHECK(words->words[0].standing == DurationMs{900});
-    CHECK_FALSE(words->words[1].limit);
-    const std::optional<PeerDatagram> ask = decodeDatagram(encodeDatagram(LimitAsk{engine, 4, 2}));
-    REQUIRE((ask && std::get_if<LimitAsk>(&*ask)));
-    CHECK(std::get_if<LimitAsk>(&*ask)->waiting == 2);
+    REQUIRE(words->updates.size() == 2);
+    CHECK(words->updates[0].endpoint == engine);
+    CHECK(words->updates[0].limit == RequestRate{1.1});
+    CHECK(words->updates[0].responsesWithoutLimit == 2);
+    CHECK(words->updates[0].age == DurationMs{250});
+    CHECK(words->updates[0].knownFor == DurationMs{900});
+    CHECK_FALSE(words->updates[1].limit);
+    const std::optional<PeerDatagram> ask = decodeDatagram(encodeDatagram(LimitShareRequest{engine, 4, 2}));
+    REQUIRE((ask && std::get_if<LimitShareRequest>(&*ask)));
+    CHECK(std::get_if<LimitShareRequest>(&*ask)->waiting == 2);
     const std::optional<PeerDatagram> grant
-        = decodeDatagram(encodeDatagram(LimitGrant{engine, {9}, 4, 11, 1, 3}));
-    REQUIRE((grant && std::get_if<LimitGrant>(&*grant)));
-    CHECK(std::get_if<LimitGrant>(&*grant)->number == 11);
+        = decodeDatagram(encodeDatagram(LimitShareGrant{engine, {9}, 4, 11, 1, 3}));
+    REQUIRE((grant && std::get_if<LimitShareGrant>(&*grant)));
+    CHECK(std::get_if<LimitShareGrant>(&*grant)->number == 11);
     for (
         const char *bad :
         {R"({"kind":"limits"})", R"({"kind":"limits","words":[["i"]]})",
--- a/tests/engineload.cpp
+++ b/tests/engineload.cpp
@@ -66,7 +66,7 @@
 struct Word {
     size_t from = 0;
     size_t to = 0;
-    TellPeer told;
+    SendToPeer told;
 };
 
 struct Asked {
@@ -172,7 +172,7 @@
         settings.instance.value = fmt::format("entry-{}", i);
         settings.incarnation.value = i + 1;
         settings.failureDomain.value = fmt::format("domain-{}", i % 4);
-        settings.repeats = {0.2, 40, {10000}};
+        settings.retryLimits = {0.2, 40, {10000}};
         settings.seed = plan_.seed + i;
         daemons_.push_back(std::make_unique<Gateway>(settings, log_));
         MemberEntry member;
@@ -212,9 +212,9 @@
     void breakAll(Engine &engine)
     {
         for (const Reading &reading : std::exchange(engine.queue, {}))
-            daemons_[reading.daemon]->onBroken({reading.attempt, true}, now_);
+            daemons_[reading.daemon]->onConnectionFailed({reading.attempt, true}, now_);
         for (const Stream &stream : std::exchange(engine.streams, {}))
-            daemons_[stream.daemon]->onBroken({stream.attempt, true}, now_);
+            daemons_[stream.daemon]->onConnectionFailed({stream.attempt, true}, now_);
     }
 
     // All that it had breaks at once, and nobody listens there any more.
@@ -298,7 +298,7 @@
         for (const Asked &asked : std::exchange(repeats_, {}))
             askAgain(asked);
         for (const std::pair<size_t, AttemptId> &unsent : std::exchange(unsent_, {})) {
-            daemons_[unsent.first]->onBroken({unsent.second, false}, now_);
+            daemons_[unsent.first]->onConnectionFailed({unsent.second, false}, now_);
             takeActions(unsent.first);
         }
         for (const Word &word : std::exchange(words_, {})) {
@@ -310,14 +310,14 @@
             EngineProbed probed;
             probed.endpoint = probe.second;
             probed.answered = !ended;
-            probed.process = ended ? EndpointProcess::Ended : EndpointProcess::Runs;
-            probed.afterBreak = true;
+            probed.process = ended ? EndpointProcess::Exited : EndpointProcess::Running;
+            probed.afterConnectionFailure = true;
             daemons_[probe.first]->onEngineProbed(probed, now_);
             takeActions(probe.first);
         }
     }
 
-    void tell(size_t from, const TellPeer &word)
+    void tell(size_t from, const SendToPeer &word)
     {
         if (random_.below(100) >= plan_.lostNotices)
             words_.push_back({from, word.to.port, word});
@@ -331,9 +331,9 @@
             daemon.onCrashNotice(*notice, now_);
         else if (const LimitNotice *limits = std::get_if<LimitNotice>(&message))
             daemon.onLimitNotice(*limits, now_);
-        else if (const LimitAsk *ask = std::get_if<LimitAsk>(&message))
-            daemon.onLimitAsk(*ask, members_[word.from].peerAddress, now_);
-        else if (const LimitGrant *grant = std::get_if<LimitGrant>(&message))
+        else if (const LimitShareRequest *ask = std::get_if<LimitShareRequest>(&message))
+            daemon.onLimitShareRequest(*ask, members_[word.from].peerAddress, now_);
+        else if (const LimitShareGrant *grant = std::get_if<LimitShareGrant>(&message))
             daemon.onLimitGrant(*grant, now_);
     }
 
@@ -450,7 +450,7 @@
     void takeActions(size_t daemon)
     {
         for (const GatewayAction &action : daemons_[daemon]->takeActions()) {
-            if (const TellPeer *word = std::get_if<TellPeer>(&action))
+            if (const SendToPeer *word = std::get_if<SendToPeer>(&action))
                 tell(daemon, *word);
             else if (const ProbeEngine *probe = std::get_if<ProbeEngine>(&action))
                 probes_.emplace_back(daemon, probe->endpoint);
@@ -632,14 +632,14 @@
         const auto asked = requests_[daemon].find(end.caller);
         if (asked == requests_[daemon].end())
             return;
-        if (!end.whole && comesAgain(asked->second)) {
+        if (!end.complete && comesAgain(asked->second)) {
             requests_[daemon].erase(asked);
             return;
         }
         KindResult &kind = result_.kinds[asked->second.kind->name];
         const bool inTime = asked->second.firstAt
             && *asked->second.firstAt - asked->second.at <= asked->second.kind->target;
-        ++(!end.whole ? kind.broken : inTime ? kind.inTime : kind.late);
+        ++(!end.complete ? kind.broken : inTime ? kind.inTime : kind.late);
         requests_[daemon].erase(asked);
     }
 
--- a/tests/enginesizing_test.cpp
+++ b/tests/enginesizing_test.cpp
@@ -11,8 +11,8 @@
 ScalingBounds makeBounds(double reclaimablePrice)
 {
     ScalingBounds bounds;
-    bounds.least = 1;
-    bounds.most = 6;
+    bounds.min = 1;
+    bounds.max = 6;
     bounds.reclaimablePrice = reclaimablePrice;
     bounds.prices = {{{"north"}, 1.0}, {{"south"}, 0.8}, {{"west"}, 1.2}};
     return bounds;
@@ -40,9 +40,9 @@
     return sum;
 }
 
-SizingQuestion questionFor(double prefillTokensPerSecond, double running)
+SizingInput inputFor(double prefillTokensPerSecond, double running)
 {
-    SizingQuestion question;
+    SizingInput question;
     question.demand.prefillTokensPerSecond = prefillTokensPerSecond;
     question.demand.running = running;
     return question;
@@ -53,7 +53,7 @@
 TEST_CASE("reclaimable engines are spread so that enough remain after the loss of a failure domain")
 {
     const std::vector<DomainPlan> plan
-        = planEngines(makeBounds(0.2), Capacity, questionFor(90'000, 20), makeStock(0, 3));
+        = planEngines(makeBounds(0.2), Capacity, inputFor(90'000, 20), makeStock(0, 3));
     for (const DomainPlan &domain : plan) {
         CHECK(domain.onDemand == 0);
         CHECK(domain.reclaimable >= 3);
@@ -68,14 +68,14 @@
     // seconds, and replacements take longer than that: with the loss of one planned for, 15 in 100 requests
     // were late until new engines came.
     ScalingBounds bounds = makeBounds(0.2);
-    bounds.most = 80;
+    bounds.max = 80;
     const auto stockOf = [](size_t domains) {
         std::map<FailureDomainName, DomainStock> stock;
         for (size_t i = 0; i < domains; ++i)
             stock[{"domain-" + std::to_string(i)}] = {0, 3, 0, false, 0, 0};
         return stock;
     };
-    const SizingQuestion question = questionFor(90 * Capacity.tokensPerSecond, 20);
+    const SizingInput question = inputFor(90 * Capacity.tokensPerSecond, 20);
     for (const DomainPlan &domain : planEngines(bounds, Capacity, question, stockOf(6)))
         CHECK(domain.reclaimable == 23); // 90 / 4
     for (const DomainPlan &domain : planEngines(bounds, Capacity, question, stockOf(4)))
@@ -88,7 +88,7 @@
 {
     // Reclaimable engines take seconds to start. Stopping the serving ones before that would leave callers
     // without engines.
-    SizingQuestion question = questionFor(90'000, 20);
+    SizingInput question = inputFor(90'000, 20);
     CHECK(sumOnDemand(planEngines(makeBounds(0.2), Capacity, question, makeStock(3, 0))) >= 5);
     CHECK(sumOnDemand(planEngines(makeBounds(0.2), Capacity, question, makeStock(3, 3))) == 0);
 }
@@ -99,7 +99,7 @@
     // engines were ordered in the cheapest domain alone, those of the other domains would be stopped seconds
     // before replacements have started.
     const std::vector<DomainPlan> plan
-        = planEngines(makeBounds(0.2), Capacity, questionFor(160'000, 20), makeStock(3, 0));
+        = planEngines(makeBounds(0.2), Capacity, inputFor(160'000, 20), makeStock(3, 0));
     for (const DomainPlan &domain : plan)
         CHECK(domain.onDemand == 3);
 }
@@ -108,16 +108,15 @@
 {
     std::map<FailureDomainName, DomainStock> stock = makeStock(3, 0);
     for (std::pair<const FailureDomainName, DomainStock> &entry : stock)
-        entry.second.coming = 2;
-    CHECK(sumOnDemand(planEngines(makeBounds(0.2), Capacity, questionFor(0, 0), stock)) == 0);
+        entry.second.pendingReclaimable = 2;
+    CHECK(sumOnDemand(planEngines(makeBounds(0.2), Capacity, inputFor(0, 0), stock)) == 0);
 }
 
 TEST_CASE("engines unavailable in one failure domain are ordered in the others")
 {
     std::map<FailureDomainName, DomainStock> stock = makeStock(0, 2);
     stock[{"north"}] = {0, 0, 0, true, 0, 0};
-    const std::vector<DomainPlan> plan
-        = planEngines(makeBounds(0.2), Capacity, questionFor(60'000, 10), stock);
+    const std::vector<DomainPlan> plan = planEngines(makeBounds(0.2), Capacity, inputFor(60'000, 10), stock);
     CHECK(plan[1].reclaimable + plan[2].reclaimable >= 6);
     // The domain in shortage gets its minimum on demand, which the platform starts anyway, and no other
     // on-demand engine is ordered.
@@ -132,7 +131,7 @@
     // domain first.
     std::map<FailureDomainName, DomainStock> stock = makeStock(0, 3);
     stock[{"north"}] = {0, 0, 0, true, 0, 0};
-    SizingQuestion question = questionFor(120'000, 20);
+    SizingInput question = inputFor(120'000, 20);
     question.scarce = true;
     const std::vector<DomainPlan> plan = planEngines(makeBounds(0.2), Capacity, question, stock);
     CHECK(sumOnDemand(plan) >= 2);
@@ -144,15 +143,15 @@
 TEST_CASE("without cheaper reclaimable engines all are on demand")
 {
     const std::vector<DomainPlan> plan
-        = planEngines(makeBounds(1), Capacity, questionFor(90'000, 20), makeStock(3, 0));
+        = planEngines(makeBounds(1), Capacity, inputFor(90'000, 20), makeStock(3, 0));
     CHECK(sumReclaimable(plan) == 0);
     CHECK(sumOnDemand(plan) == 5);
 }
 
 TEST_CASE("the engines found at the start are kept until the demand is known")
 {
-    SizingQuestion question = questionFor(0, 0);
-    question.known = 12;
+    SizingInput question = inputFor(0, 0);
+    question.knownEngines = 12;
     CHECK(sumReclaimable(planEngines(makeBounds(0.2), Capacity, question, makeStock(4, 0))) == 12);
 }
 
@@ -191,13 +190,13 @@
     {
         for (const TimeMs until = now + time; now < until; now = now + DurationMs{100}) {
             read.askedAt = now;
-            fleet.take(read, now);
+            fleet.applyList(read, now);
             sizing.tick(leadership, fleet, rollouts, {}, configuration, now);
-            for (const DutyCall &call : sizing.takeCalls()) {
+            for (const LeaderCall &call : sizing.takeCalls()) {
                 CHECK(call.fencingToken == 7);
                 orders.push_back(*call.order);
                 if (answers)
-                    sizing.onReply(call.id, DutyOutcome::Done, now);
+                    sizing.onReply(call.id, LeaderCallOutcome::Done, now);
             }
         }
     }
@@ -295,7 +294,7 @@
     for (const double part : {0.2, 0.5, 1.0, 2.0, 3.0}) {
         const double size = tokens * part;
         const double ms = baseMs + size / tokensPerMs;
-        demand.readings.add({20, 20 * size, 20 * ms, 20 * size * size, 20 * size * ms});
+        demand.prefillSums.add({20, 20 * size, 20 * ms, 20 * size * size, 20 * size * ms});
     }
     return demand;
 }
@@ -305,14 +304,14 @@
 TEST_CASE("the prefill speed is fitted from the times to first events")
 {
     const ServiceDemand demand = demandOf(60, 5000, 600, 45, 40);
-    const ReadingSpeed speed = readingSpeed(demand.readings);
+    const PrefillSpeed speed = prefillSpeed(demand.prefillSums);
     CHECK(speed.tokensPerMs == doctest::Approx(45).epsilon(0.01));
     CHECK(speed.baseMs == doctest::Approx(40).epsilon(0.01));
     // Too few samples, or all of one size: the defaults.
-    CHECK(readingSpeed({}).tokensPerMs == 45);
-    ReadingSums alike;
+    CHECK(prefillSpeed({}).tokensPerMs == 45);
+    PrefillSums alike;
     alike.add({100, 100'000, 5000, 1e8, 5e6});
-    CHECK(readingSpeed(alike).tokensPerMs == 45);
+    CHECK(prefillSpeed(alike).tokensPerMs == 45);
 }
 
 TEST_CASE("engine capacity depends on prefill speed, prompt sizes and latency targets")
@@ -341,8 +340,8 @@
     RolloutsKnown known;
     known.era = 1;
     known.orders = {{{"model"}, {"v2"}, {16'000}, 5}};
-    fixture.rollouts.take(known, fixture.now);
-    fixture.fleet.setOutOfUse(fixture.rollouts.outOfUse());
+    fixture.rollouts.update(known, fixture.now);
+    fixture.fleet.setInactiveVersions(fixture.rollouts.outOfUse());
     fixture.orders.clear();
     fixture.run({2000}, true);
     CHECK_FALSE(fixture.ordered(false));
@@ -354,8 +353,8 @@
     record.era = 1;
     record.stage = RolloutStage::Trial;
     known.records[{"model"}] = record;
-    fixture.rollouts.take(known, fixture.now);
-    fixture.fleet.setOutOfUse(fixture.rollouts.outOfUse());
+    fixture.rollouts.update(known, fixture.now);
+    fixture.fleet.setInactiveVersions(fixture.rollouts.outOfUse());
     fixture.list(3, 3);
     for (EndpointEntry &entry : fixture.read.entries)
         entry.version.value = entry.reclaimable ? "v1" : "v2";
@@ -366,8 +365,8 @@
     record.stage = RolloutStage::RolledBack;
     record.barred = {{"v2"}};
     known.records[{"model"}] = record;
-    fixture.rollouts.take(known, fixture.now);
-    fixture.fleet.setOutOfUse(fixture.rollouts.outOfUse());
+    fixture.rollouts.update(known, fixture.now);
+    fixture.fleet.setInactiveVersions(fixture.rollouts.outOfUse());
     fixture.run({2000}, true);
     CHECK(fixture.ordered(false) == 0);
 }
@@ -379,9 +378,9 @@
     // was in time for 15 s. A quiet day of 60 engines with four reclaims got 0.69 of its credit before the
     // change and 0.86 after, for a twentieth more engine cost.
     ScalingBounds bounds = makeBounds(0.2);
-    bounds.most = 30;
+    bounds.max = 30;
     bounds.prices[{"east"}] = 0.9;
-    SizingQuestion question = questionFor(11 * Capacity.tokensPerSecond, 20);
+    SizingInput question = inputFor(11 * Capacity.tokensPerSecond, 20);
     question.scarce = true;
     const auto onDemandAfter = [&](uint32_t lost) {
         std::map<FailureDomainName, DomainStock> stock;
--- a/tests/fleetview_test.cpp
+++ b/tests/fleetview_test.cpp
@@ -15,17 +15,17 @@
 namespace {
 
 constexpr DurationMs Step{25};
-constexpr DurationMs EntriesPace{500};
+constexpr DurationMs EntriesInterval{500};
 constexpr double StrongCores = 0.5;
 constexpr double WeakCores = 0.12;
 /// Cores used by each strong daemon, about the load at which callers use half of them.
 constexpr double CoresUsed = 0.1;
 
 /// Simulates daemons with a store and encoded datagrams, but without callers.
-class FleetWorld
+class FleetSimulation
 {
 public:
-    FleetWorld(size_t count, size_t strong) : store_(1), random_(1)
+    FleetSimulation(size_t count, size_t strong) : store_(1), random_(1)
     {
         configure(1);
         daemons_.resize(count);
@@ -51,7 +51,7 @@
     }
     uint64_t versionAt(size_t i) const { return daemons_[i].gateway->configuration()->version; }
     /// The store does not reply; leases lapse meanwhile.
-    void breakStore(bool down)
+    void setStoreDown(bool down)
     {
         store_.faults.down = down;
         store_.faults.leasesLapseWhileDown = true;
@@ -59,7 +59,7 @@
 
     void start(size_t i, bool first = false)
     {
-        OneDaemon &daemon = daemons_[i];
+        SimulatedDaemon &daemon = daemons_[i];
         StoreSyncSettings settings;
         settings.self = {{fmt::format("front-{}", i)},
                          {++incarnations_},
@@ -101,7 +101,7 @@
     void stopEngine(size_t i) { store_.remove(StoreSpace::Endpoints, fmt::format("engine-{}", i)); }
     size_t enginesKnownTo(size_t i) const { return daemons_[i].gateway->fleet().all().size(); }
 
-    void pass(DurationMs duration)
+    void advance(DurationMs duration)
     {
         for (const TimeMs until = now + duration; now < until;) {
             now = now + Step;
@@ -113,14 +113,14 @@
                 if (!daemons_[reply.first].isUp)
                     continue;
                 daemons_[reply.first].sync->onReply(reply.second, now);
-                takeNews(reply.first);
+                takeUpdates(reply.first);
             }
             deliver();
         }
     }
 
     /// The store rejects every `nth` daemon; 0: none.
-    void turnAway(size_t nth)
+    void rejectClients(size_t nth)
     {
         store_.refusedClients.clear();
         for (size_t i = 0; nth > 0 && i < daemons_.size(); i += nth)
@@ -146,33 +146,33 @@
     bool serves(size_t i) const { return daemons_[i].gateway->serves(); }
     std::vector<Address> entriesOf(size_t i)
     {
-        const OneDaemon &daemon = daemons_[i];
+        const SimulatedDaemon &daemon = daemons_[i];
         return daemon.fleet->entryAddresses({callerAddress(i), daemon.cores}, coresUsed(daemon), now);
     }
     /// Reports to one daemon only that `ends` engines, from number `first` on, crashed while they ran the
     /// request.
-    void endEnginesUnder(size_t i, RequestDigest request, int ends = 3, int first = 0)
+    void crashEngines(size_t i, RequestDigest request, int crashes = 3, int first = 0)
     {
         CrashNotice notice;
-        for (int end = first; end < first + ends; ++end)
-            notice.losses.push_back({request, {EndpointId{fmt::format("engine-{}", end)}, {}}, false});
+        for (int end = first; end < first + crashes; ++end)
+            notice.crashes.push_back({request, {EndpointId{fmt::format("engine-{}", end)}, {}}, false});
         daemons_[i].gateway->onCrashNotice(notice, now);
     }
     /// Number of daemons that are up and have the request in quarantine.
-    size_t keepingBack(RequestDigest request)
+    size_t countQuarantining(RequestDigest request)
     {
-        size_t keeping = 0;
-        for (OneDaemon &daemon : daemons_) {
+        size_t total = 0;
+        for (SimulatedDaemon &daemon : daemons_) {
             if (!daemon.isUp)
                 continue;
             const std::vector<QuarantinedRequest> &list = daemon.gateway->quarantine(now);
-            keeping += std::any_of(list.begin(), list.end(), [request](const QuarantinedRequest &each) {
+            total += std::any_of(list.begin(), list.end(), [request](const QuarantinedRequest &each) {
                 return each.request == request;
             });
         }
-        return keeping;
+        return total;
     }
-    size_t indexOfServing() const
+    size_t firstServing() const
     {
         for (size_t i = 0; i < count(); ++i) {
             if (isUp(i) && serves(i))
@@ -181,29 +181,29 @@
         return 0;
     }
     void saveStore() { store_.saveCopy(); }
-    void comeBackOlder() { store_.comeBackFromCopy(); }
+    void restoreStoreCopy() { store_.comeBackFromCopy(); }
     size_t members() const { return store_.keyCount(StoreSpace::Shared); }
     /// Maximum number of writes sent within one second since the last `resetTraffic`.
-    size_t mostWritesInASecond() const
+    size_t maxWritesPerSecond() const
     {
-        size_t most = 0;
+        size_t highest = 0;
         for (const std::pair<const int64_t, size_t> &second : writes_)
-            most = std::max(most, second.second);
-        return most;
+            highest = std::max(highest, second.second);
+        return highest;
     }
     double storeReads() const { return static_cast<double>(storeReads_); }
     /// Number of daemons that are up and advertise a daemon that is down to callers.
-    size_t namingTheDead()
+    size_t countAdvertisingDown()
     {
-        size_t naming = 0;
+        size_t total = 0;
         for (size_t i = 0; i < daemons_.size(); ++i) {
             if (!daemons_[i].isUp)
                 continue;
             const std::vector<Address> entries = entriesOf(i);
-            naming += std::any_of(entries.begin(), entries.end(),
-                                  [this](const Address &each) { return !daemons_[indexOf(each)].isUp; });
+            total += std::any_of(entries.begin(), entries.end(),
+                                 [this](const Address &each) { return !daemons_[indexOf(each)].isUp; });
         }
-        return naming;
+        return total;
     }
     static size_t indexOf(const Address &address) { return address.port - FirstPort; }
 
@@ -216,7 +216,7 @@
     {
         storeReads_ = 0;
         writes_.clear();
-        for (OneDaemon &daemon : daemons_)
+        for (SimulatedDaemon &daemon : daemons_)
             daemon.traffic = {};
     }
     Traffic trafficOf(size_t i) const { return daemons_[i].traffic; }
@@ -225,7 +225,7 @@
     uint64_t lossPercent = 0;
 
 private:
-    struct OneDaemon {
+    struct SimulatedDaemon {
         double cores = WeakCores;
         std::unique_ptr<StoreSync> sync;
         std::unique_ptr<Gateway> gateway;
@@ -243,7 +243,7 @@
     static constexpr uint16_t FirstPort = 1000;
     static Address callerAddress(size_t i) { return {"10.0.0.1", static_cast<uint16_t>(FirstPort + i)}; }
     static Address peerAddress(size_t i) { return {"10.0.0.2", static_cast<uint16_t>(FirstPort + i)}; }
-    double coresUsed(const OneDaemon &daemon) const
+    double coresUsed(const SimulatedDaemon &daemon) const
     {
         return daemon.cores == StrongCores ? CoresUsed : 0.002;
     }
@@ -251,33 +251,33 @@
     // Runs the same steps as the daemon at each of its ticks.
     void tick(size_t i)
     {
-        OneDaemon &daemon = daemons_[i];
+        SimulatedDaemon &daemon = daemons_[i];
         Gateway &gateway = *daemon.gateway;
         daemon.fleet->beforeStoreTick(now);
         daemon.sync->tick(now);
-        sendOut(i);
+        sendPending(i);
         gateway.tick(now);
         for (const GatewayAction &action : gateway.takeActions()) {
-            if (const TellPeer *word = std::get_if<TellPeer>(&action))
+            if (const SendToPeer *word = std::get_if<SendToPeer>(&action))
                 send(i, word->to,
                      std::visit([](const auto &each) { return encodeDatagram(each); }, word->message));
         }
-        if (now - daemon.entriesAt >= EntriesPace) {
+        if (now - daemon.entriesAt >= EntriesInterval) {
             daemon.entriesAt = now;
             entriesOf(i);
         }
         sendReports(i, daemon.fleet->dueReports(now));
     }
 
-    void takeNews(size_t i)
+    void takeUpdates(size_t i)
     {
-        sendReports(i, daemons_[i].fleet->takeNews(now));
-        sendOut(i);
+        sendReports(i, daemons_[i].fleet->takeUpdates(now));
+        sendPending(i);
     }
 
-    void sendOut(size_t i)
+    void sendPending(size_t i)
     {
-        OneDaemon &daemon = daemons_[i];
+        SimulatedDaemon &daemon = daemons_[i];
         for (const StoreCall &call : daemon.sync->takeCalls()) {
             storeReads_ += call.verb == StoreVerb::List ? 1 : 0;
             const bool writes = call.verb == StoreVerb::Write || call.verb == StoreVerb::GrantLease;
@@ -293,7 +293,7 @@
     {
         if (due.to.empty())
             return;
-        PeerReport report = daemons_[i].gateway->report(due.whole, now);
+        PeerReport report = daemons_[i].gateway->report(due.isFull, now);
         report.coresUsed = coresUsed(daemons_[i]);
         const std::string text = encodeDatagram(report);
         for (const Address &to : due.to)
@@ -316,7 +316,7 @@
     void deliver()
     {
         for (const Datagram &datagram : std::exchange(datagrams_, {})) {
-            OneDaemon &daemon = daemons_[datagram.to];
+            SimulatedDaemon &daemon = daemons_[datagram.to];
             if (!daemon.isUp)
                 continue;
             count(datagram.to, datagram.text);
@@ -325,12 +325,12 @@
                 daemon.gateway->onPeerReport(*report, now);
             } else if (const CrashNotice *notice = std::get_if<CrashNotice>(&*read)) {
                 daemon.gateway->onCrashNotice(*notice, now);
-            } else if (const FreshnessQuestion *question = std::get_if<FreshnessQuestion>(&*read)) {
-                daemon.sync->onQuestion(*question, peerAddress(datagram.from), now);
-                sendOut(datagram.to);
-            } else if (const FreshnessAnswer *answer = std::get_if<FreshnessAnswer>(&*read)) {
-                daemon.sync->onAnswer(*answer, now);
-                takeNews(datagram.to);
+            } else if (const FreshnessQuery *question = std::get_if<FreshnessQuery>(&*read)) {
+                daemon.sync->onFreshnessQuery(*question, peerAddress(datagram.from), now);
+                sendPending(datagram.to);
+            } else if (const FreshnessReply *answer = std::get_if<FreshnessReply>(&*read)) {
+                daemon.sync->onFreshnessReply(*answer, now);
+                takeUpdates(datagram.to);
             }
         }
     }
@@ -338,14 +338,14 @@
     RecordingLog log_;
     FakeStore store_;
     Random random_;
-    std::vector<OneDaemon> daemons_;
+    std::vector<SimulatedDaemon> daemons_;
     std::vector<Datagram> datagrams_;
     uint64_t incarnations_ = 0;
     std::map<int64_t, size_t> writes_; ///< Number of writes, by second.
     uint64_t storeReads_ = 0;
 };
 
-constexpr size_t Strong = 18;
+constexpr size_t StrongCount = 18;
 
 } // namespace
 
@@ -354,26 +354,26 @@
     // Eighteen daemons serve, the rest are on standby. When each daemon reported to every other one, a daemon
     // among 295 sent and received 160 reports a second, and its view of the others was up to 3.5 s old.
     for (const size_t count : {30U, 100U, 295U, 890U}) {
-        FleetWorld world(count, Strong);
-        world.pass({14000});
+        FleetSimulation world(count, StrongCount);
+        world.advance({14000});
         world.resetTraffic();
-        world.pass({5000});
+        world.advance({5000});
         size_t serving = 0;
-        double mostStandby = 0;
-        double mostServing = 0;
+        double maxStandby = 0;
+        double maxServing = 0;
         for (size_t i = 0; i < count; ++i) {
             serving += world.serves(i) ? 1 : 0;
-            double &most = world.serves(i) ? mostServing : mostStandby;
+            double &most = world.serves(i) ? maxServing : maxStandby;
             most = std::max(most, world.trafficOf(i).bytes / 5);
         }
-        MESSAGE(count << " daemons, " << serving << " serve: " << mostStandby
-                      << " B/s per standby daemon at most, " << mostServing << " B/s at most; "
+        MESSAGE(count << " daemons, " << serving << " serve: " << maxStandby
+                      << " B/s per standby daemon at most, " << maxServing << " B/s at most; "
                       << world.storeReads() / 5 << " store reads/s");
-        CHECK(serving == Strong);
-        CHECK(mostStandby < 2500);
+        CHECK(serving == StrongCount);
+        CHECK(maxStandby < 2500);
         CHECK(world.storeReads() / 5 < 40);
         for (size_t i = 0; i < count; ++i)
-            REQUIRE(world.entriesOf(i).size() == Strong);
+            REQUIRE(world.entriesOf(i).size() == StrongCount);
     }
 }
 
@@ -382,12 +382,12 @@
     // Callers request addresses from any daemon, cache the reply for seconds, and lose a second for each dead
     // address they try. When reports went to all daemons in turn, 295 daemons advertised a dead one for 21 s.
     for (const size_t count : {30U, 100U, 295U}) {
-        FleetWorld world(count, Strong);
-        world.pass({8000});
-        REQUIRE(world.namingTheDead() == 0);
+        FleetSimulation world(count, StrongCount);
+        world.advance({8000});
+        REQUIRE(world.countAdvertisingDown() == 0);
         world.kill(3);
-        world.pass({2500});
-        CHECK(world.namingTheDead() == 0);
+        world.advance({2500});
+        CHECK(world.countAdvertisingDown() == 0);
     }
 }
 
@@ -398,14 +398,14 @@
     // request addresses from any of them: each must return daemons that serve, though it has received no
     // report yet.
     for (const size_t count : {10U, 100U, 295U}) {
-        FleetWorld world(count, std::min<size_t>(count, Strong));
-        world.pass({8000});
+        FleetSimulation world(count, std::min<size_t>(count, StrongCount));
+        world.advance({8000});
         for (size_t i = 0; i < count; ++i)
             world.start(i);
-        world.pass({550});
+        world.advance({550});
         for (size_t i = 0; i < count; ++i) {
             REQUIRE(world.isReady(i));
-            REQUIRE(world.entriesOf(i).size() >= std::min(count, LeastEntries));
+            REQUIRE(world.entriesOf(i).size() >= std::min(count, MinEntries));
         }
     }
 }
@@ -414,26 +414,26 @@
 {
     // Eighteen strong instances are gone for good. The standby daemons get no reply from them, read the
     // store, and see the dead daemons until their leases expire; then some of them start to serve.
-    FleetWorld world(100, Strong);
-    world.pass({8000});
-    for (size_t i = 0; i < Strong; ++i)
+    FleetSimulation world(100, StrongCount);
+    world.advance({8000});
+    for (size_t i = 0; i < StrongCount; ++i)
         world.kill(i);
-    world.pass({6000});
-    CHECK(world.namingTheDead() == 0);
-    world.pass({4000});
+    world.advance({6000});
+    CHECK(world.countAdvertisingDown() == 0);
+    world.advance({4000});
     size_t serving = 0;
-    for (size_t i = Strong; i < world.count(); ++i)
+    for (size_t i = StrongCount; i < world.count(); ++i)
         serving += world.serves(i) ? 1 : 0;
-    CHECK(serving >= LeastEntries);
+    CHECK(serving >= MinEntries);
     CHECK(serving <= 40);
     // The instances restart: callers are sent to them again.
-    for (size_t i = 0; i < Strong; ++i)
+    for (size_t i = 0; i < StrongCount; ++i)
         world.start(i);
-    world.pass({2500});
+    world.advance({2500});
     size_t named = 0;
     for (const Address &each : world.entriesOf(50))
-        named += FleetWorld::indexOf(each) < Strong ? 1 : 0;
-    CHECK(named == Strong);
+        named += FleetSimulation::indexOf(each) < StrongCount ? 1 : 0;
+    CHECK(named == StrongCount);
 }
 
 TEST_CASE("frequent changes of engines are learned without additional reads of the store")
@@ -442,21 +442,21 @@
     // were killed meanwhile restart and read the list themselves, so the reader that they query does not know
     // their version. When that made them read again, they did so at each reply: 281 reads a second in one
     // soak run.
-    FleetWorld world(100, Strong);
+    FleetSimulation world(100, StrongCount);
     size_t first = 0;
     size_t next = 0;
     while (next < 600)
         world.startEngine(next++);
-    world.pass({8000});
+    world.advance({8000});
     world.lossPercent = 5;
     world.resetTraffic();
     double most = 0;
     for (int round = 0; round < 240; ++round) {
         world.stopEngine(first++);
         world.startEngine(next++);
-        world.pass({50});
+        world.advance({50});
         if (round == 40) {
-            for (size_t i = Strong; i < world.count(); ++i)
+            for (size_t i = StrongCount; i < world.count(); ++i)
                 world.start(i);
         }
         if (round == 80)
@@ -467,7 +467,7 @@
     MESSAGE("store reads/s: " << world.storeReads() / 8 << ", " << most << " B/s per standby daemon at most");
     CHECK(world.storeReads() / 8 < 30);
     CHECK(most < 25000);
-    world.pass({2000});
+    world.advance({2000});
     for (size_t i = 0; i < world.count(); ++i)
         REQUIRE(world.enginesKnownTo(i) == 600);
 }
@@ -478,31 +478,31 @@
     // per read. When a daemon started another read while one was open, the store was busy with replies that
     // nobody waited for any more: views stayed seconds old until the end, and requests went to engines that
     // had left.
-    FleetWorld world(295, Strong);
+    FleetSimulation world(295, StrongCount);
     world.limitStore(300);
-    world.pass({14000});
+    world.advance({14000});
     world.killAll();
-    world.pass({1500});
+    world.advance({1500});
     world.startAll();
-    world.pass({4000});
+    world.advance({4000});
     CHECK(world.countReady() == world.count());
     world.resetTraffic();
     for (int i = 0; i < 20; ++i) {
-        world.pass({250});
+        world.advance({250});
         REQUIRE(world.countReady() == world.count());
     }
     CHECK(world.storeReads() / 5 < 200); // The store sends 300.
     world.resetTraffic();
-    world.pass({5000});
+    world.advance({5000});
     CHECK(world.storeReads() / 5 < 20);
     // The store rejects a third of the daemons for nine seconds.
-    world.turnAway(3);
-    world.pass({9000});
-    world.turnAway(0);
-    world.pass({4000});
+    world.rejectClients(3);
+    world.advance({9000});
+    world.rejectClients(0);
+    world.advance({4000});
     CHECK(world.countReady() == world.count());
     world.resetTraffic();
-    world.pass({5000});
+    world.advance({5000});
     CHECK(world.storeReads() / 5 < 40);
 }
 
@@ -514,14 +514,14 @@
     for (const size_t count : {3U, 8U, 30U, 100U}) {
         for (uint64_t version = 2; version < 8; ++version) {
             CAPTURE(count);
-            FleetWorld world(count, std::min<size_t>(count, Strong));
-            world.pass({6000});
-            world.breakStore(true);
-            world.pass({static_cast<int64_t>(8000 + 300 * version)});
-            world.breakStore(false);
-            world.pass({2000});
+            FleetSimulation world(count, std::min<size_t>(count, StrongCount));
+            world.advance({6000});
+            world.setStoreDown(true);
+            world.advance({static_cast<int64_t>(8000 + 300 * version)});
+            world.setStoreDown(false);
+            world.advance({2000});
             world.configure(version);
-            world.pass({2000});
+            world.advance({2000});
             for (size_t i = 0; i < count; ++i)
                 REQUIRE(world.versionAt(i) == version);
         }
@@ -530,14 +530,14 @@
 
 TEST_CASE("lost datagrams do not remove serving daemons from any view")
 {
-    FleetWorld world(100, Strong);
-    world.pass({8000});
+    FleetSimulation world(100, StrongCount);
+    world.advance({8000});
     world.lossPercent = 15;
     world.resetTraffic();
     for (int i = 0; i < 20; ++i) {
-        world.pass({500});
+        world.advance({500});
         for (size_t each = 0; each < world.count(); ++each)
-            REQUIRE(world.entriesOf(each).size() >= Strong - 1);
+            REQUIRE(world.entriesOf(each).size() >= StrongCount - 1);
     }
     CHECK(world.storeReads() / 10 < 60);
 }
@@ -549,14 +549,14 @@
     // from a store reader. Within three seconds no daemon forwards the request.
     constexpr RequestDigest Request{7};
     for (const size_t count : {8U, 100U, 295U, 890U}) {
-        FleetWorld world(count, Strong);
-        world.pass({14000});
+        FleetSimulation world(count, StrongCount);
+        world.advance({14000});
         world.resetTraffic();
-        const size_t knows = world.indexOfServing();
-        world.endEnginesUnder(knows, Request);
+        const size_t knows = world.firstServing();
+        world.crashEngines(knows, Request);
         DurationMs after;
-        while (world.keepingBack(Request) < count && after.count < 6000) {
-            world.pass({100});
+        while (world.countQuarantining(Request) < count && after.count < 6000) {
+            world.advance({100});
             after = after + DurationMs{100};
         }
         double most = 0;
@@ -573,16 +573,16 @@
     // The callers that send it return to daemons that have just started. These must have read it from the
     // store before they accept a request.
     constexpr RequestDigest Request{7};
-    FleetWorld world(30, Strong);
-    world.pass({14000});
-    world.endEnginesUnder(world.indexOfServing(), Request);
-    world.pass({3000});
+    FleetSimulation world(30, StrongCount);
+    world.advance({14000});
+    world.crashEngines(world.firstServing(), Request);
+    world.advance({3000});
     world.killAll();
-    world.pass({500});
+    world.advance({500});
     world.startAll();
-    world.pass({1000});
+    world.advance({1000});
     CHECK(world.countReady() == world.count());
-    CHECK(world.keepingBack(Request) == world.count());
+    CHECK(world.countQuarantining(Request) == world.count());
 }
 
 TEST_CASE("a quarantine decided while the store is down is stored soon after the outage")
@@ -591,29 +591,29 @@
     // replies to their queries while the views of the readers are old. When the store is back, all learn of
     // it.
     constexpr RequestDigest Request{7};
-    FleetWorld world(100, Strong);
-    world.pass({14000});
-    world.breakStore(true);
-    world.pass({4000});
-    world.endEnginesUnder(world.indexOfServing(), Request);
-    world.pass({2000});
-    CHECK(world.keepingBack(Request) >= 1);
-    world.breakStore(false);
-    world.pass({4000});
-    CHECK(world.keepingBack(Request) == 100);
+    FleetSimulation world(100, StrongCount);
+    world.advance({14000});
+    world.setStoreDown(true);
+    world.advance({4000});
+    world.crashEngines(world.firstServing(), Request);
+    world.advance({2000});
+    CHECK(world.countQuarantining(Request) >= 1);
+    world.setStoreDown(false);
+    world.advance({4000});
+    CHECK(world.countQuarantining(Request) == 100);
 }
 
 TEST_CASE("quarantines of many requests at once are all stored, whichever daemon writes first")
 {
     // Several daemons quarantine different requests at the same moment. The write of one must not undo that
     // of another.
-    FleetWorld world(30, Strong);
-    world.pass({14000});
+    FleetSimulation world(30, StrongCount);
+    world.advance({14000});
     for (uint64_t i = 0; i < 12; ++i)
-        world.endEnginesUnder(static_cast<size_t>(i), {100 + i});
-    world.pass({6000});
+        world.crashEngines(static_cast<size_t>(i), {100 + i});
+    world.advance({6000});
     for (uint64_t i = 0; i < 12; ++i)
-        CHECK(world.keepingBack({100 + i}) == 30);
+        CHECK(world.countQuarantining({100 + i}) == 30);
 }
 
 TEST_CASE("a quarantine decided while another one is being written is stored as well")
@@ -621,16 +621,16 @@
     // The store takes 0.3 s for each call. A quarantine decided between the sending of a write and its reply
     // was not part of that write: if it were taken for written, it would be lost with the daemon. Other
     // daemons would write it; this test has only one daemon.
-    FleetWorld world(1, 1);
-    world.pass({14000});
-    const size_t knows = world.indexOfServing();
+    FleetSimulation world(1, 1);
+    world.advance({14000});
+    const size_t knows = world.firstServing();
     world.slowStore({300});
     for (uint64_t i = 0; i < 24; ++i) {
         const RequestDigest second{200 + i};
-        world.endEnginesUnder(knows, {100 + i});
-        world.pass({static_cast<int64_t>(50 * (i + 1))});
-        world.endEnginesUnder(knows, second);
-        world.pass({4000});
+        world.crashEngines(knows, {100 + i});
+        world.advance({static_cast<int64_t>(50 * (i + 1))});
+        world.crashEngines(knows, second);
+        world.advance({4000});
         CHECK(world.stored(QuarantineKey).find(toText(second)) != std::string::npos);
     }
 }
@@ -639,20 +639,20 @@
 {
     // More requests are in quarantine than the store's list holds. The newest must not wait until one
     // expires: a daemon that starts would not know of it.
-    FleetWorld world(8, Strong);
-    world.pass({14000});
-    const size_t knows = world.indexOfServing();
+    FleetSimulation world(8, StrongCount);
+    world.advance({14000});
+    const size_t knows = world.firstServing();
     for (uint64_t i = 0; i < 70; ++i) {
-        world.endEnginesUnder(knows, {100 + i});
-        world.pass({25});
+        world.crashEngines(knows, {100 + i});
+        world.advance({25});
     }
-    world.pass({3000});
-    world.endEnginesUnder(knows, {7});
-    world.pass({3000});
+    world.advance({3000});
+    world.crashEngines(knows, {7});
+    world.advance({3000});
     world.killAll();
     world.startAll();
-    world.pass({2000});
-    CHECK(world.keepingBack({7}) == world.count());
+    world.advance({2000});
+    CHECK(world.countQuarantining({7}) == world.count());
 }
 
 TEST_CASE("a daemon that starts later continues the crash counts of its peers")
@@ -660,20 +660,20 @@
     // Two engines crashed under a request, too few for a quarantine. A daemon that was killed restarts, and a
     // third engine crashes there: it must know of the first two.
     constexpr RequestDigest Request{7};
-    FleetWorld world(30, Strong);
-    world.pass({14000});
-    const size_t knows = world.indexOfServing();
-    world.endEnginesUnder(knows, Request, 2);
+    FleetSimulation world(30, StrongCount);
+    world.advance({14000});
+    const size_t knows = world.firstServing();
+    world.crashEngines(knows, Request, 2);
     const size_t again = knows + 1;
     REQUIRE(world.serves(again));
     world.kill(again);
-    world.pass({1000});
+    world.advance({1000});
     world.start(again);
-    world.pass({4000});
+    world.advance({4000});
     REQUIRE(world.serves(again));
-    CHECK(world.keepingBack(Request) == 0);
-    world.endEnginesUnder(again, Request, 1, 2);
-    CHECK(world.keepingBack(Request) == 1);
+    CHECK(world.countQuarantining(Request) == 0);
+    world.crashEngines(again, Request, 1, 2);
+    CHECK(world.countQuarantining(Request) == 1);
 }
 
 TEST_CASE(
@@ -683,16 +683,16 @@
     // at once, the store would reject most of the writes, and the retries would collide again.
     for (const size_t count : {8, 100, 295, 890}) {
         CAPTURE(count);
-        FleetWorld world(count, std::min<size_t>(count, 20));
+        FleetSimulation world(count, std::min<size_t>(count, 20));
         world.saveStore();
-        world.pass({8000});
+        world.advance({8000});
         const size_t before = world.members();
-        world.comeBackOlder();
+        world.restoreStoreCopy();
         world.resetTraffic();
-        world.pass({6000});
+        world.advance({6000});
         CHECK(world.members() >= before);
         CHECK(world.countReady() == count);
-        CHECK(world.mostWritesInASecond() <= 600);
+        CHECK(world.maxWritesPerSecond() <= 600);
     }
 }
 
@@ -700,19 +700,19 @@
 {
     // The quarantine was written after the copy was made. When all daemons are killed, the restarted ones can
     // learn it from the store only.
-    FleetWorld world(30, 8);
-    world.pass({6000});
+    FleetSimulation world(30, 8);
+    world.advance({6000});
     world.saveStore();
     const RequestDigest request{42};
-    world.endEnginesUnder(0, request);
-    world.pass({4000});
+    world.crashEngines(0, request);
+    world.advance({4000});
     REQUIRE_FALSE(world.stored("quarantine").empty());
-    world.comeBackOlder();
+    world.restoreStoreCopy();
     REQUIRE(world.stored("quarantine").empty());
-    world.pass({4000});
+    world.advance({4000});
     CHECK_FALSE(world.stored("quarantine").empty());
     world.killAll();
     world.startAll();
-    world.pass({2000});
-    CHECK(world.keepingBack(request) == world.count());
+    world.advance({2000});
+    CHECK(world.countQuarantining(request) == world.count());
 }
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -177,7 +177,7 @@
     AttemptHead head;
     head.attempt = lastSent().attempt;
     head.status = 200;
-    head.ownAnswer = false;
+    head.matchesRequest = false;
     gateway.onHead(head, now);
     drainActions();
     CHECK(statusOf(caller) == 502);
@@ -437,18 +437,18 @@
     shared.promptTokens = 17000;
     shared.parts = {{"manual", 13000}, {"own", 4000}};
     request(shared);
-    const EndpointId home = lastSent().endpoint;
+    const EndpointId preferred = lastSent().endpoint;
     for (int i = 0; i < 2; ++i) {
         shared.id = "next-" + std::to_string(i);
         request(shared);
-        CHECK(lastSent().endpoint == home);
+        CHECK(lastSent().endpoint == preferred);
     }
     bool spilled = false;
     for (int i = 0; i < 10; ++i) {
         shared.id = "more-" + std::to_string(i);
         shared.parts.back().id = "own-" + std::to_string(i);
         request(shared);
-        spilled = spilled || lastSent().endpoint != home;
+        spilled = spilled || lastSent().endpoint != preferred;
     }
     CHECK(spilled);
 }
@@ -463,20 +463,20 @@
     shared.promptTokens = 14000;
     shared.parts = {{"manual", 13000}, {"own", 1000}};
     request(shared);
-    const EndpointId home = lastSent().endpoint;
+    const EndpointId preferred = lastSent().endpoint;
     head(lastSent().attempt, 200, true);
     events(lastSent().attempt, 1, 1);
     gateway.onMembers({{{"entry-2"}, {2}, {"south"}, {}, {}}}, now);
     pass({200});
     PeerReport report;
     report.incarnation.value = 2;
-    report.loads = {{{home, {}}, 1, 20'000}};
+    report.loads = {{{preferred, {}}, 1, 20'000}};
     report.sequence = 1;
     gateway.onPeerReport(report, now);
     pass({25});
     shared.id = "second";
     request(shared);
-    CHECK(lastSent().endpoint == home);
+    CHECK(lastSent().endpoint == preferred);
     for (int i = 0; i < 5; ++i) {
         ++report.sequence;
         gateway.onPeerReport(report, now);
@@ -484,7 +484,7 @@
     }
     shared.id = "third";
     request(shared);
-    CHECK(lastSent().endpoint != home);
+    CHECK(lastSent().endpoint != preferred);
 }
 
 TEST_CASE_FIXTURE(GatewayFixture, "a silent engine gets no new requests, and resumable streams leave it")
@@ -492,7 +492,7 @@
     // An engine stops sending in the middle of its streams, without a TCP reset. A resumable stream continues
     // from another engine after a pause; one that can't be resumed waits, since the engine may come back.
     const CallerId resumable = request(Model);
-    const EndpointId dark = lastSent().endpoint;
+    const EndpointId silent = lastSent().endpoint;
     const AttemptId first = lastSent().attempt;
     head(first, 200, true);
     events(first, 1, 2);
@@ -500,7 +500,7 @@
     AttemptId fixedAttempt;
     while (fixedAttempt.value == 0) {
         fixed = request(PlainStream);
-        if (lastSent().endpoint == dark)
+        if (lastSent().endpoint == silent)
             fixedAttempt = lastSent().attempt;
     }
     head(fixedAttempt, 200, true);
@@ -510,12 +510,12 @@
     CHECK(sent.size() == before);
     pass({200});
     REQUIRE(sent.size() == before + 1);
-    CHECK(lastSent().endpoint != dark);
+    CHECK(lastSent().endpoint != silent);
     CHECK(lastSent().resumeAfter == 2);
     CHECK_FALSE(streamEnds.contains(fixed));
     for (int i = 0; i < 6; ++i) {
         request(Model);
-        CHECK(lastSent().endpoint != dark);
+        CHECK(lastSent().endpoint != silent);
     }
     events(fixedAttempt, 2, 2);
     end(fixedAttempt);
@@ -528,7 +528,7 @@
     // Engines are overloaded: events arrive a second apart, and the retry budget is used up. A stream that
     // left its engine would end at once, although its remaining events are still to come.
     GatewaySettings none;
-    none.repeats = {0, 0, {10000}};
+    none.retryLimits = {0, 0, {10000}};
     gateway.applyBounds(none);
     const CallerId caller = request(Model);
     const AttemptId attempt = lastSent().attempt;
@@ -623,9 +623,9 @@
     pass({1000});
     CallerRequest large = makeRequest(Model);
     large.promptTokens = 3'000'000;
-    const CallerId hopeless = request(large);
+    const CallerId tooLarge = request(large);
     pass({25});
-    CHECK(statusOf(hopeless) == 503);
+    CHECK(statusOf(tooLarge) == 503);
     CHECK(statusOf(small) == 0);
     head(sent[0].attempt, 200, true);
     events(sent[0].attempt, 1, 34);
--- a/tests/gatewayfixture.cpp
+++ b/tests/gatewayfixture.cpp
@@ -15,7 +15,7 @@
     GatewaySettings settings;
     settings.instance.value = "entry-1";
     settings.failureDomain.value = "north";
-    settings.repeats = {0.2, 40, {10000}};
+    settings.retryLimits = {0.2, 40, {10000}};
     settings.seed = 7;
     return settings;
 }
@@ -183,13 +183,13 @@
 
 void GatewayFixture::broken(AttemptId attempt, bool sentAny)
 {
-    gateway.onBroken({attempt, sentAny}, now);
+    gateway.onConnectionFailed({attempt, sentAny}, now);
     drainActions();
 }
 
 void GatewayFixture::endpointEnded(const EndpointId &endpoint)
 {
-    gateway.onEngineProbed({endpoint, {}, false, false, {}, EndpointProcess::Ended, true}, now);
+    gateway.onEngineProbed({endpoint, {}, false, false, {}, EndpointProcess::Exited, true}, now);
     drainActions();
 }
 
@@ -213,17 +213,17 @@
         else if (const CallerStreamData *streamData = std::get_if<CallerStreamData>(&action))
             streamed[streamData->caller] += streamData->bytes;
         else if (const EndCallerStream *streamEnd = std::get_if<EndCallerStream>(&action))
-            streamEnds[streamEnd->caller] = streamEnd->whole;
+            streamEnds[streamEnd->caller] = streamEnd->complete;
         else if (const SendAttempt *attempt = std::get_if<SendAttempt>(&action))
             sent.push_back(*attempt);
         else if (const CancelSent *cancel = std::get_if<CancelSent>(&action))
             cancelled.push_back(cancel->attempt);
-        else if (const MoveRun *move = std::get_if<MoveRun>(&action))
+        else if (const MigrateGeneration *move = std::get_if<MigrateGeneration>(&action))
             moves.push_back(*move);
         else if (const ProbeEngine *probe = std::get_if<ProbeEngine>(&action))
             probes.push_back(*probe);
-        else if (const TellPeer *word = std::get_if<TellPeer>(&action)) {
-            if (const QuotaAsk *ask = std::get_if<QuotaAsk>(&word->message))
+        else if (const SendToPeer *word = std::get_if<SendToPeer>(&action)) {
+            if (const QuotaRequest *ask = std::get_if<QuotaRequest>(&word->message))
                 asks.emplace_back(word->to, *ask);
         }
     }
--- a/tests/gatewayfixture.h
+++ b/tests/gatewayfixture.h
@@ -12,7 +12,7 @@
 class RecordingLog : public DecisionLog
 {
 public:
-    void write(LogWeight, const char *event, boost::json::object fields) override
+    void write(LogPriority, const char *event, boost::json::object fields) override
     {
         fields["event"] = event;
         lines.push_back(std::move(fields));
@@ -56,9 +56,9 @@
     // What came out.
     std::vector<SendAttempt> sent;
     std::vector<AttemptId> cancelled;
-    std::vector<MoveRun> moves;
+    std::vector<MigrateGeneration> moves;
     std::vector<ProbeEngine> probes;
-    std::vector<std::pair<Address, QuotaAsk>> asks;
+    std::vector<std::pair<Address, QuotaRequest>> asks;
     std::map<CallerId, AnswerCaller> answers;
     std::map<CallerId, std::string> streamed;
     std::map<CallerId, bool> streamEnds; ///< True: whole.
--- a/tests/gatewaylimits_test.cpp
+++ b/tests/gatewaylimits_test.cpp
@@ -6,7 +6,7 @@
 
 constexpr const char *Order = "/order/1";
 
-void hearSpare(GatewayFixture &fixture)
+void reportSpare(GatewayFixture &fixture)
 {
     PeerReport report;
     report.incarnation.value = 2;
@@ -17,7 +17,7 @@
 }
 
 /// Two daemons share a limit with a burst of 10 requests and a rate of 1/s. The other one can spare 4 units.
-void shareLimit(GatewayFixture &fixture, bool heard = true)
+void shareLimit(GatewayFixture &fixture, bool peerReported = true)
 {
     std::shared_ptr<ServingConfiguration> limited = fixture.makeConfiguration(2);
     limited->organisations[0].ratePerSecond = 1;
@@ -25,8 +25,8 @@
     fixture.gateway.onMembers(
         {{{"entry-1"}, {1}, {"north"}, {}, {}}, {{"entry-2"}, {2}, {"south"}, {}, {"10.0.0.2", 90}}},
         fixture.now);
-    if (heard)
-        hearSpare(fixture);
+    if (peerReported)
+        reportSpare(fixture);
     fixture.configure(limited);
 }
 
@@ -44,14 +44,14 @@
     CHECK(sent.size() == before);
     REQUIRE(asks.size() == 1);
     CHECK(asks[0].first.host == "10.0.0.2");
-    const QuotaGift gift{{2}, asks[0].second.number, {"a"}, 1};
-    gateway.onQuotaGift(gift, now);
+    const QuotaTransfer transfer{{2}, asks[0].second.number, {"a"}, 1};
+    gateway.onQuotaTransfer(transfer, now);
     drainActions();
     CHECK(sent.size() == before + 1);
     CHECK(statusOf(waiting) == 0);
     // A duplicated transfer counts once.
-    gateway.onQuotaGift(gift, now);
-    gateway.onQuotaGift(gift, now);
+    gateway.onQuotaTransfer(transfer, now);
+    gateway.onQuotaTransfer(transfer, now);
     request(Order);
     CHECK(sent.size() == before + 1);
 }
@@ -80,10 +80,10 @@
     const CallerId waiting = request(Order);
     CHECK(asks.empty());
     CHECK(statusOf(waiting) == 0);
-    hearSpare(*this);
+    reportSpare(*this);
     pass({175});
     REQUIRE(asks.size() == 1);
-    gateway.onQuotaGift({{2}, asks[0].second.number, {"a"}, 1}, now);
+    gateway.onQuotaTransfer({{2}, asks[0].second.number, {"a"}, 1}, now);
     drainActions();
     CHECK(sent.size() == 2);
 
--- a/tests/gatewaymoves_test.cpp
+++ b/tests/gatewaymoves_test.cpp
@@ -16,7 +16,7 @@
 
 LeavingStream startLeavingStream(GatewayFixture &fixture, const std::string &path)
 {
-    fixture.configuration->services[0].engine->movesRuns = true;
+    fixture.configuration->services[0].engine->migratesGenerations = true;
     CallerRequest request = fixture.makeRequest(path);
     request.outputTokens = 300;
     LeavingStream out;
@@ -50,13 +50,13 @@
     events(stream.attempt, 4, 4);
     broken(stream.attempt);
     CHECK_FALSE(streamEnds.contains(stream.caller));
-    gateway.onRunMoved({stream.attempt, MoveOutcome::Moved, "h1"}, now);
+    gateway.onGenerationMigrated({stream.attempt, MigrationOutcome::Migrated, "h1"}, now);
     drainActions();
     REQUIRE(sent.size() == 2);
     CHECK(lastSent().endpoint != stream.source);
     CHECK(lastSent().resumeAfter == 4);
-    REQUIRE(lastSent().memory);
-    CHECK(lastSent().memory->handle == "h1");
+    REQUIRE(lastSent().migratedKvCache);
+    CHECK(lastSent().migratedKvCache->handle == "h1");
     head(lastSent().attempt, 200, true);
     events(lastSent().attempt, 5, 100);
     end(lastSent().attempt);
@@ -68,9 +68,9 @@
     // The store was unreachable and all keys were refused for seconds; then an engine with many streams is
     // reclaimed. The retry budget is based on the requests received: if only served requests counted, most of
     // the streams would be cut off.
-    configuration->services[0].engine->movesRuns = true;
+    configuration->services[0].engine->migratesGenerations = true;
     GatewaySettings bounds;
-    bounds.repeats = {0.2, 8, {10000}};
+    bounds.retryLimits = {0.2, 8, {10000}};
     gateway.applyBounds(bounds);
     storeReachable = false;
     pass({5000});
@@ -104,7 +104,7 @@
 TEST_CASE_FIXTURE(GatewayFixture, "the last events of a migrated generation may arrive after its KV cache")
 {
     const LeavingStream stream = startLeavingStream(*this, PlainStream);
-    gateway.onRunMoved({stream.attempt, MoveOutcome::Moved, "h1"}, now);
+    gateway.onGenerationMigrated({stream.attempt, MigrationOutcome::Migrated, "h1"}, now);
     drainActions();
     CHECK(sent.size() == 1);
     events(stream.attempt, 4, 6);
@@ -119,14 +119,14 @@
     // generation has stopped and its KV cache cannot be located: the caller receives a broken stream, and the
     // request does not run twice.
     const LeavingStream going = startLeavingStream(*this, PlainStream);
-    gateway.onRunMoved({going.attempt, MoveOutcome::NoReply, {}}, now);
+    gateway.onGenerationMigrated({going.attempt, MigrationOutcome::NoReply, {}}, now);
     events(going.attempt, 4, 5);
     CHECK(streamed[going.caller].find("id: 5") != std::string::npos);
     CHECK_FALSE(streamEnds.contains(going.caller));
     pass({25});
     REQUIRE(moves.size() == 2);
     broken(going.attempt);
-    gateway.onRunMoved({going.attempt, MoveOutcome::NoReply, {}}, now);
+    gateway.onGenerationMigrated({going.attempt, MigrationOutcome::NoReply, {}}, now);
     drainActions();
     REQUIRE(streamEnds.contains(going.caller));
     CHECK_FALSE(streamEnds[going.caller]);
@@ -137,7 +137,7 @@
 {
     // The store is down when the reclaim notice arrives, so the endpoint list does not change. The engine of
     // the stream is probed, reports that it leaves, and the stream is migrated in time.
-    configuration->services[0].engine->movesRuns = true;
+    configuration->services[0].engine->migratesGenerations = true;
     CallerRequest request = makeRequest(PlainStream);
     request.outputTokens = 600;
     this->request(request);
@@ -184,7 +184,7 @@
 TEST_CASE_FIXTURE(GatewayFixture, "a migration rejected for lack of capacity tries another engine")
 {
     const LeavingStream stream = startLeavingStream(*this, PlainStream);
-    gateway.onRunMoved({stream.attempt, MoveOutcome::NoRoom, "h1"}, now);
+    gateway.onGenerationMigrated({stream.attempt, MigrationOutcome::NoCapacity, "h1"}, now);
     events(stream.attempt, 4, 4);
     pass({25});
     REQUIRE(moves.size() == 2);
@@ -198,7 +198,7 @@
     // it would run twice.
     const LeavingStream stream = startLeavingStream(*this, PlainStream);
     broken(stream.attempt);
-    gateway.onRunMoved({stream.attempt, MoveOutcome::Moved, "h1"}, now);
+    gateway.onGenerationMigrated({stream.attempt, MigrationOutcome::Migrated, "h1"}, now);
     drainActions();
     REQUIRE(sent.size() == 2);
     AttemptHead head;
@@ -215,7 +215,7 @@
 TEST_CASE_FIXTURE(GatewayFixture, "a stream that ends before its engine leaves is not migrated")
 {
     // Four events remain at 20 ms each; the engine serves for two more seconds.
-    configuration->services[0].engine->movesRuns = true;
+    configuration->services[0].engine->migratesGenerations = true;
     CallerRequest request = makeRequest(PlainStream);
     request.outputTokens = 30;
     this->request(request);
--- a/tests/gatewayparts_test.cpp
+++ b/tests/gatewayparts_test.cpp
@@ -115,8 +115,8 @@
         for (size_t i = 0; i < daemons.size(); ++i) {
             daemons[i].refill(organisation, {8, 3, i < 3}, {ms});
             if (i >= 3)
-                daemons[static_cast<size_t>(ms / 500) % 3].keep(organisation.name,
-                                                                daemons[i].surplus(organisation.name));
+                daemons[static_cast<size_t>(ms / 500) % 3].receiveDeposit(
+                    organisation.name, daemons[i].surplus(organisation.name));
         }
     }
     double sum = 0;
@@ -172,11 +172,11 @@
 {
     // All endpoints of a service fail. Without a bound every request would be sent again, and the failing
     // service would get twice its load.
-    RepeatBudget budget;
+    GatewayRetryBudget budget;
     budget.setLimits({0.2, 40, {10000}});
     const ServiceName service{"plain"};
     for (int i = 0; i < 100; ++i)
-        budget.request(service, {int64_t{10} * i});
+        budget.countRequest(service, {int64_t{10} * i});
     int taken = 0;
     for (int i = 0; i < 100; ++i)
         taken += budget.take(service, 1.0 / 8, {1000}) ? 1 : 0;
@@ -210,7 +210,7 @@
     report.demands.push_back({{"model"}, 100, 0, 0, 0, 0, {}});
     peers.take(report, {0});
     PeerReport next = makeReport(2, 2);
-    next.whole = false;
+    next.full = false;
     next.balances = {{{"a"}, 0}};
     peers.take(next, {100});
     CHECK(peers.spares({"a"}, 0, {100}).empty());
@@ -228,7 +228,7 @@
     PeerReport leaving = makeReport(3, 1);
     leaving.leaving = true;
     peers.take(leaving, {0});
-    CHECK(peers.sharers({100}) == 4);
+    CHECK(peers.servingCount({100}) == 4);
     CHECK(peers.entryCandidates(true, {100}).size() == 1);
     CHECK(peers.entryCandidates(true, {5000}).empty());
 }
@@ -277,26 +277,26 @@
 TEST_CASE("a daemon serves when it is chosen twice in a row, and stands by when it was not for long")
 {
     ServingRole role;
-    role.note(true, {1000});
+    role.recordChoice(true, {1000});
     CHECK_FALSE(role.serves());
-    role.note(false, {1200});
-    role.note(true, {1500});
+    role.recordChoice(false, {1200});
+    role.recordChoice(true, {1500});
     CHECK_FALSE(role.serves());
-    role.note(true, {2000});
+    role.recordChoice(true, {2000});
     CHECK(role.serves());
-    role.note(false, {3000});
-    role.note(true, {12000});
-    role.note(false, {13000});
-    role.note(false, {22000});
+    role.recordChoice(false, {3000});
+    role.recordChoice(true, {12000});
+    role.recordChoice(false, {13000});
+    role.recordChoice(false, {22000});
     CHECK(role.serves());
-    role.note(false, {23000});
+    role.recordChoice(false, {23000});
     CHECK_FALSE(role.serves());
 }
 
 TEST_CASE("peers: loads are summed over daemons that are heard, and only their newest reports")
 {
-    const EndpointLife m1{{"m1"}, {}};
-    const EndpointLife m2{{"m2"}, {}};
+    const EndpointIncarnation m1{{"m1"}, {}};
+    const EndpointIncarnation m2{{"m2"}, {}};
     PeerTable peers({"entry-1"});
     peers.setMembers({makeMember("entry-1", 1), makeMember("entry-2", 2), makeMember("entry-3", 3)}, {0});
     PeerReport report = makeReport(2, 1);
@@ -352,12 +352,12 @@
     CHECK(read.instance == report.instance);
     CHECK(read.wallMs == report.wallMs);
     CHECK(read.loads[0].prefillTokens == 4000);
-    CHECK(read.loads[0].life == report.loads[0].life);
+    CHECK(read.loads[0].incarnation == report.loads[0].incarnation);
     CHECK(read.balances[0].spare == 2.5);
     CHECK(read.windows[0].count == 12);
     CHECK(read.demands[0].prefillTokensPerSecond == 100.5);
     CHECK(read.demands[0].running == 2);
-    CHECK(read.demands[0].readings.tokensMs == 1000000);
+    CHECK(read.demands[0].prefillSums.tokensMs == 1000000);
     for (const char *text : {"", "{", "[]", "{}", "{\"kind\":\"report\"}", "{\"kind\":1}", "\xff\xfe"})
         CHECK_FALSE(decodeDatagram(text));
     std::string cut = encodeDatagram(report);
@@ -367,15 +367,15 @@
 
 TEST_CASE("questions and answers about freshness survive their way")
 {
-    const FreshnessQuestion question{{77}, 5, 2, 1234567890123456789ULL, 77, 3, 99};
+    const FreshnessQuery question{{77}, 5, 2, 1234567890123456789ULL, 77, 3, 99};
     const std::optional<PeerDatagram> asked = decodeDatagram(encodeDatagram(question));
     REQUIRE(asked);
-    CHECK(std::get<FreshnessQuestion>(*asked).endpointsDigest == question.endpointsDigest);
-    CHECK(std::get<FreshnessQuestion>(*asked).sharedDigest == 77);
-    CHECK(std::get<FreshnessQuestion>(*asked).configurationVersion == 3);
-    CHECK(std::get<FreshnessQuestion>(*asked).entriesDigest == 99);
-    CHECK(std::get<FreshnessQuestion>(*asked).era == 2);
-    FreshnessAnswer answer;
+    CHECK(std::get<FreshnessQuery>(*asked).endpointsDigest == question.endpointsDigest);
+    CHECK(std::get<FreshnessQuery>(*asked).sharedDigest == 77);
+    CHECK(std::get<FreshnessQuery>(*asked).configurationVersion == 3);
+    CHECK(std::get<FreshnessQuery>(*asked).entriesDigest == 99);
+    CHECK(std::get<FreshnessQuery>(*asked).era == 2);
+    FreshnessReply answer;
     answer.number = 5;
     answer.hasMembers = true;
     answer.members = {{{"entry-2"}, {2}, {"south"}, {"10.0.0.2", 80}, {"10.0.0.2", 90}, 0.25, true}};
@@ -403,7 +403,7 @@
     answer.rollouts = RolloutsKnown{{{{"model"}, {"v2"}, {16'000}, 9}}, {{{"model"}, record}}, 3};
     const std::optional<PeerDatagram> answered = decodeDatagram(encodeDatagram(answer));
     REQUIRE(answered);
-    const FreshnessAnswer &read = std::get<FreshnessAnswer>(*answered);
+    const FreshnessReply &read = std::get<FreshnessReply>(*answered);
     CHECK(read.rolloutsDigest == 12);
     CHECK(read.rollouts == answer.rollouts);
     CHECK(read.sharedAge.count == 300);
@@ -425,7 +425,7 @@
     answer.endpointChanges = EndpointChanges{{entry}, {{"i-2"}, {"i-3"}}};
     const std::optional<PeerDatagram> changed = decodeDatagram(encodeDatagram(answer));
     REQUIRE(changed);
-    const FreshnessAnswer &readChanges = std::get<FreshnessAnswer>(*changed);
+    const FreshnessReply &readChanges = std::get<FreshnessReply>(*changed);
     CHECK_FALSE(readChanges.hasEndpoints);
     CHECK(readChanges.endpointsBase == 55);
     REQUIRE(readChanges.endpointChanges);
@@ -465,7 +465,7 @@
         if (random.below(3) == 0)
             continue;
         const uint64_t base = asker.digest();
-        const std::optional<EndpointChanges> changes = reader.since(base);
+        const std::optional<EndpointChanges> changes = reader.changesSince(base);
         if (!changes) {
             asker.replace(reader.entries());
             continue;
@@ -483,27 +483,27 @@
                                           all.begin() + static_cast<std::ptrdiff_t>(to));
     };
     EndpointList starting;
-    CHECK_FALSE(starting.takePart(reader.digest(), 0, all.size(), part(0, 4)));
-    CHECK_FALSE(starting.takePart(reader.digest(), 8, all.size(), part(8, all.size())));
-    CHECK_FALSE(starting.takePart(reader.digest(), 0, all.size(), part(0, 4)));
-    CHECK_FALSE(starting.takePart(reader.digest(), 4, all.size(), part(4, 8)));
+    CHECK_FALSE(starting.addPart(reader.digest(), 0, all.size(), part(0, 4)));
+    CHECK_FALSE(starting.addPart(reader.digest(), 8, all.size(), part(8, all.size())));
+    CHECK_FALSE(starting.addPart(reader.digest(), 0, all.size(), part(0, 4)));
+    CHECK_FALSE(starting.addPart(reader.digest(), 4, all.size(), part(4, 8)));
     CHECK(starting.digest() == 0);
-    CHECK(starting.takePart(reader.digest(), 8, all.size(), part(8, all.size())));
+    CHECK(starting.addPart(reader.digest(), 8, all.size(), part(8, all.size())));
     CHECK(starting.digest() == reader.digest());
     // Whole lists would have been about 25 entries each time.
     CHECK(told < 2000 * 3);
-    CHECK_FALSE(reader.since(1));
+    CHECK_FALSE(reader.changesSince(1));
 }
 
 TEST_CASE("asks and gifts of units survive their way")
 {
-    const std::optional<PeerDatagram> ask = decodeDatagram(encodeDatagram(QuotaAsk{4, {"a"}, 12.5}));
+    const std::optional<PeerDatagram> ask = decodeDatagram(encodeDatagram(QuotaRequest{4, {"a"}, 12.5}));
     REQUIRE(ask);
-    CHECK(std::get<QuotaAsk>(*ask).units == 12.5);
-    const std::optional<PeerDatagram> gift = decodeDatagram(encodeDatagram(QuotaGift{{9}, 4, {"a"}, 7}));
+    CHECK(std::get<QuotaRequest>(*ask).units == 12.5);
+    const std::optional<PeerDatagram> gift = decodeDatagram(encodeDatagram(QuotaTransfer{{9}, 4, {"a"}, 7}));
     REQUIRE(gift);
-    CHECK(std::get<QuotaGift>(*gift).from.value == 9);
-    CHECK(std::get<QuotaGift>(*gift).number == 4);
+    CHECK(std::get<QuotaTransfer>(*gift).from.value == 9);
+    CHECK(std::get<QuotaTransfer>(*gift).number == 4);
 }
 
 TEST_CASE("events are cut by blank lines, whatever the line ends")
@@ -514,7 +514,7 @@
     CHECK(splitter.next()->id == 8);
     CHECK_FALSE(splitter.next()->id);
     CHECK_FALSE(splitter.next());
-    CHECK(splitter.holdsPartial());
+    CHECK(splitter.hasPartialEvent());
 }
 
 TEST_CASE("an endpoint that answers with errors stays in use, one that breaks is left alone for a moment")
@@ -532,12 +532,12 @@
         entry.slots = 1;
         read.entries.push_back(entry);
     }
-    fleet.take(read, {1000});
+    fleet.applyList(read, {1000});
     CallerRequest request;
-    PlacementQuestion question;
+    PlacementQuery question;
     question.service.value = "plain";
     question.request = &request;
-    fleet.started({{"p2"}, 0, 0}, question, {1000});
+    fleet.attemptStarted({{"p2"}, 0, 0}, question, {1000});
     fleet.answeredWithError({{"p1"}, {}});
     const PlacementResult result = fleet.choose(question, {1000});
     REQUIRE(result.choice);
@@ -557,12 +557,12 @@
     const std::optional<PeerDatagram> datagram = decodeDatagram(encodeDatagram(notice));
     REQUIRE(datagram);
     const CrashNotice &read = std::get<CrashNotice>(*datagram);
-    REQUIRE(read.losses.size() == 2);
-    CHECK(read.losses[0].request.value == 7);
-    CHECK(read.losses[0].endpoint.id.value == "i-1");
-    CHECK(read.losses[0].endpoint.start.unixMs == 1000);
-    CHECK(read.losses[0].ranWell);
-    CHECK_FALSE(read.losses[1].ranWell);
+    REQUIRE(read.crashes.size() == 2);
+    CHECK(read.crashes[0].request.value == 7);
+    CHECK(read.crashes[0].endpoint.id.value == "i-1");
+    CHECK(read.crashes[0].endpoint.start.unixMs == 1000);
+    CHECK(read.crashes[0].hadStreamed);
+    CHECK_FALSE(read.crashes[1].hadStreamed);
     REQUIRE(read.answered.size() == 1);
     CHECK(read.answered[0].value == 9);
     CHECK(read.quarantined == notice.quarantined);
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int Requests = 6000;
-constexpr int AtOnce = 24;
+constexpr int ConcurrentRequests = 24;
 const Address serverAddress{"127.0.0.1", 16999};
 
 } // namespace
@@ -31,7 +31,7 @@
     });
     HttpClient client(io);
     int started = 0;
-    int whole = 0;
+    int completed = 0;
     int done = 0;
     std::function<void()> next = [&] {
         if (started == Requests)
@@ -41,24 +41,24 @@
         call.address = serverAddress;
         call.freshConnection = true;
         client.fetch(std::move(call), [&](const HttpResponse &response) {
-            whole += response.failure == HttpFailure::None && response.body == "ok" ? 1 : 0;
+            completed += response.failure == HttpFailure::None && response.body == "ok" ? 1 : 0;
             if (++done == Requests)
                 io.stop();
             next();
         });
     };
-    for (int i = 0; i < AtOnce; ++i)
+    for (int i = 0; i < ConcurrentRequests; ++i)
         next();
     io.run();
     CHECK(closed == 0);
-    CHECK(whole == Requests);
+    CHECK(completed == Requests);
 }
 
 namespace {
 
 /// Returns the failure phase that the endpoint link reports when the endpoint aborts the connection, either
 /// because its process exits or while it continues to run.
-FailurePhase phaseOfCut(bool endpointEnds)
+FailurePhase failurePhaseAfterAbort(bool endpointExits)
 {
     boost::asio::io_context io;
     std::unique_ptr<HttpServer> server;
@@ -66,7 +66,7 @@
                                           [&](const HttpExchangePtr &exchange) {
                                               if (exchange->request().target == "/health")
                                                   return exchange->respond(200, {}, "");
-                                              if (endpointEnds)
+                                              if (endpointExits)
                                                   server.reset();
                                               exchange->abort();
                                           });
@@ -97,6 +97,6 @@
     // Both look the same on the request's connection; only a new connection shows the difference. If an abort
     // were taken for a crash, it would count towards the request's quarantine; if a crash were missed, one
     // request could crash endpoint after endpoint.
-    CHECK(phaseOfCut(true) == FailurePhase::Ended);
-    CHECK(phaseOfCut(false) == FailurePhase::AfterSend);
+    CHECK(failurePhaseAfterAbort(true) == FailurePhase::Ended);
+    CHECK(failurePhaseAfterAbort(false) == FailurePhase::AfterSend);
 }
