--- a/tests/limits_explorer_test.cpp
+++ b/tests/limits_explorer_test.cpp
@@ -19,7 +19,7 @@
 constexpr double Rate = 100'000;
 constexpr double Burst = 100'000;
 constexpr QuotaTolerance Tolerance{0.1, 190'000};
-constexpr DurationMs JudgedWindow{8000};
+constexpr DurationMs MeasuredWindow{8000};
 constexpr double Allowed = (Rate * 8 + Burst) * (1 + Tolerance.over) + Tolerance.slack;
 constexpr DurationMs LeaseTime{3000};
 
@@ -30,10 +30,10 @@
 
 /// Simulates daemons that enforce the limit of one overloading organisation, with lost reports, partitions
 /// and restarts. Measures the units that they admit together in any window.
-class LimitWorld
+class QuotaSimulation
 {
 public:
-    explicit LimitWorld(uint64_t seed) : random(seed)
+    explicit QuotaSimulation(uint64_t seed) : random(seed)
     {
         organisation_.name = OrganisationName{"a"};
         organisation_.countsTokens = true;
@@ -61,7 +61,7 @@
                     serve(i);
             }
             deliver();
-            judge();
+            measureWindow();
         }
     }
 
@@ -73,11 +73,11 @@
     bool isIdle = false; ///< No requests are submitted, so balances fill up.
     /// Age of each daemon's member list.
     std::vector<DurationMs> viewAge = std::vector<DurationMs>(DaemonCount);
-    double most = 0; ///< Maximum number of units admitted in any window so far.
-    double all = 0;
+    double maxInWindow = 0; ///< Maximum number of units admitted in any window so far.
+    double total = 0;
 
     /// Sets which daemons serve, one bit per daemon.
-    void letServe(uint64_t which)
+    void setServing(uint64_t which)
     {
         std::vector<bool> serving(DaemonCount);
         for (size_t i = 0; i < DaemonCount; ++i)
@@ -103,7 +103,7 @@
         double wanted = 0; ///< Units of a request that waits for transfers.
         TimeMs waitUntil;
     };
-    using Message = std::variant<PeerReport, QuotaAsk, QuotaGift>;
+    using Message = std::variant<PeerReport, QuotaRequest, QuotaTransfer>;
     struct Envelope {
         size_t from = 0;
         size_t to = 0;
@@ -120,7 +120,7 @@
         return out;
     }
 
-    void tell(size_t from, size_t to, const Message &message)
+    void send(size_t from, size_t to, const Message &message)
     {
         if (group[from] == group[to] && random.below(100) >= lossPercent)
             messages_.push_back({from, to, message});
@@ -128,35 +128,36 @@
 
     QuotaRole roleOf(const OneDaemon &daemon) const
     {
-        const std::vector<const MemberEntry *> keepers = daemon.peers.keepers(organisation_.name, now);
-        const bool isKeeper
-            = std::any_of(keepers.begin(), keepers.end(), [&daemon](const MemberEntry *keeper) {
+        const std::vector<const MemberEntry *> poolDaemons = daemon.peers.quotaPool(organisation_.name, now);
+        const bool isPoolDaemon
+            = std::any_of(poolDaemons.begin(), poolDaemons.end(), [&daemon](const MemberEntry *keeper) {
                   return keeper->incarnation == daemon.incarnation;
               });
-        return {daemon.peers.sharers(now), std::min(PeerTable::Keepers, daemon.peers.sharers(now)), isKeeper,
-                daemon.peers.isSharer()};
+        return {daemon.peers.servingCount(now),
+                std::min(PeerTable::QuotaPoolSize, daemon.peers.servingCount(now)), isPoolDaemon,
+                daemon.peers.isServing()};
     }
 
-    bool letThrough(OneDaemon &daemon, double units)
+    bool admit(OneDaemon &daemon, double units)
     {
         if (daemon.quotas.take(organisation_, units, roleOf(daemon), now))
             return false;
         used_.emplace_back(now, units);
         sum_ += units;
-        all += units;
+        total += units;
         return true;
     }
 
-    void press(size_t i)
+    void submitRequests(size_t i)
     {
         OneDaemon &daemon = *daemons_[i];
         const double units = static_cast<double>(500 + random.below(random.below(20) == 0 ? 90'000 : 20'000));
-        if (daemon.wanted > 0 || letThrough(daemon, units))
+        if (daemon.wanted > 0 || admit(daemon, units))
             return;
         daemon.wanted = units;
         daemon.waitUntil = now + DurationMs{150};
         for (const PeerTable::Spare &spare : daemon.peers.spares(organisation_.name, 0, now))
-            tell(i, spare.address.port, QuotaAsk{1, organisation_.name, std::min(units, spare.units)});
+            send(i, spare.address.port, QuotaRequest{1, organisation_.name, std::min(units, spare.units)});
     }
 
     void serve(size_t i)
@@ -177,20 +178,20 @@
         }
         daemon.peers.setMembers(std::move(members), now);
         for (uint64_t k = 0; !isIdle && k < random.below(3); ++k)
-            press(i);
+            submitRequests(i);
         if (daemon.wanted > 0 && now >= daemon.waitUntil) {
-            letThrough(daemon, daemon.wanted);
+            admit(daemon, daemon.wanted);
             daemon.wanted = 0;
         }
         if (now < daemon.reportAt)
             return;
-        daemon.reportAt = now + daemon.peers.reportPace();
+        daemon.reportAt = now + daemon.peers.reportInterval();
         daemon.quotas.refill(organisation_, roleOf(daemon), now);
-        const std::vector<const MemberEntry *> keepers = daemon.peers.keepers(organisation_.name, now);
-        if (!keepers.empty() && keepers[0]->peerAddress.port != i) {
+        const std::vector<const MemberEntry *> poolDaemons = daemon.peers.quotaPool(organisation_.name, now);
+        if (!poolDaemons.empty() && poolDaemons[0]->peerAddress.port != i) {
             const double units = daemon.quotas.surplus(organisation_.name);
-            tell(i, keepers[0]->peerAddress.port,
-                 QuotaGift{daemon.incarnation, 1, organisation_.name, units, true});
+            send(i, poolDaemons[0]->peerAddress.port,
+                 QuotaTransfer{daemon.incarnation, 1, organisation_.name, units, true});
         }
         PeerReport report;
         report.incarnation = daemon.incarnation;
@@ -199,7 +200,7 @@
         report.balances = daemon.quotas.balances();
         for (size_t j = 0; j < DaemonCount; ++j) {
             if (j != i)
-                tell(i, j, report);
+                send(i, j, report);
         }
     }
 
@@ -211,30 +212,30 @@
                 continue;
             if (const PeerReport *report = std::get_if<PeerReport>(&envelope.message)) {
                 daemon.peers.take(*report, now);
-            } else if (const QuotaAsk *ask = std::get_if<QuotaAsk>(&envelope.message)) {
-                const double given = daemon.quotas.give(organisation_.name, ask->units);
+            } else if (const QuotaRequest *request = std::get_if<QuotaRequest>(&envelope.message)) {
+                const double given = daemon.quotas.give(organisation_.name, request->units);
                 if (given > 0)
-                    tell(envelope.to, envelope.from,
-                         QuotaGift{daemon.incarnation, 1, organisation_.name, given, false});
-            } else if (const QuotaGift *gift = std::get_if<QuotaGift>(&envelope.message)) {
-                if (gift->deposit) {
-                    daemon.quotas.keep(organisation_.name, gift->units);
+                    send(envelope.to, envelope.from,
+                         QuotaTransfer{daemon.incarnation, 1, organisation_.name, given, false});
+            } else if (const QuotaTransfer *transfer = std::get_if<QuotaTransfer>(&envelope.message)) {
+                if (transfer->deposit) {
+                    daemon.quotas.receiveDeposit(organisation_.name, transfer->units);
                     continue;
                 }
-                daemon.quotas.receive(organisation_.name, gift->units);
-                if (daemon.wanted > 0 && letThrough(daemon, daemon.wanted))
+                daemon.quotas.receive(organisation_.name, transfer->units);
+                if (daemon.wanted > 0 && admit(daemon, daemon.wanted))
                     daemon.wanted = 0;
             }
         }
     }
 
-    void judge()
+    void measureWindow()
     {
-        while (!used_.empty() && now - used_.front().first >= JudgedWindow) {
+        while (!used_.empty() && now - used_.front().first >= MeasuredWindow) {
             sum_ -= used_.front().second;
             used_.pop_front();
         }
-        most = std::max(most, sum_);
+        maxInWindow = std::max(maxInWindow, sum_);
     }
 
     ServedOrganisation organisation_;
@@ -252,10 +253,10 @@
 
 TEST_CASE("without faults an overloading organisation gets its rate, and little more than its burst")
 {
-    LimitWorld world(1);
+    QuotaSimulation world(1);
     world.pass({20000});
-    CHECK(world.most <= Allowed);
-    CHECK(world.all >= Rate * 20);
+    CHECK(world.maxInWindow <= Allowed);
+    CHECK(world.total >= Rate * 20);
 }
 
 TEST_CASE("partitions, lost reports and restarts never admit more than the tolerance")
@@ -265,7 +266,7 @@
     double most = 0;
     for (uint64_t seed = 1; seed <= 120; ++seed) {
         CAPTURE(seed);
-        LimitWorld world(seed);
+        QuotaSimulation world(seed);
         world.pass({1000});
         for (int round = 0; round < 10; ++round) {
             const uint64_t fault = world.random.below(5);
@@ -291,8 +292,8 @@
             world.isIdle = world.random.below(3) == 0;
             world.pass({static_cast<int64_t>(500 + world.random.below(6000))});
         }
-        CHECK(world.most <= Allowed);
-        most = std::max(most, world.most);
+        CHECK(world.maxInWindow <= Allowed);
+        most = std::max(most, world.maxInWindow);
     }
     fmt::print("limits explorer | most in a window {:.0f} of {:.0f}\n", most, Allowed);
 }
@@ -305,13 +306,13 @@
     double most = 0;
     for (uint64_t seed = 1; seed <= 120; ++seed) {
         CAPTURE(seed);
-        LimitWorld world(seed);
-        world.letServe(63);
+        QuotaSimulation world(seed);
+        world.setServing(63);
         world.pass({4000});
         for (int round = 0; round < 10; ++round) {
             for (DurationMs &each : world.viewAge)
                 each.count = static_cast<int64_t>(world.random.below(1300));
-            world.letServe(1 + world.random.below(63));
+            world.setServing(1 + world.random.below(63));
             if (world.random.below(3) == 0)
                 world.kill(world.random.below(DaemonCount),
                            {static_cast<int64_t>(700 + world.random.below(3000))});
@@ -319,8 +320,8 @@
             world.isIdle = world.random.below(4) == 0;
             world.pass({static_cast<int64_t>(500 + world.random.below(6000))});
         }
-        CHECK(world.most <= Allowed);
-        most = std::max(most, world.most);
+        CHECK(world.maxInWindow <= Allowed);
+        most = std::max(most, world.maxInWindow);
     }
     fmt::print("limits explorer, roles | most in a window {:.0f} of {:.0f}\n", most, Allowed);
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -22,7 +22,7 @@
 }
 
 // Returns the path of the invalid field, or an empty string if the request is valid.
-std::string wrongField(const HttpRequest &request)
+std::string invalidField(const HttpRequest &request)
 {
     return boost::leaf::try_handle_all(
         [&]() -> Result<std::string> {
@@ -34,7 +34,7 @@
 
 // Returns the result of `parse`, or nothing with the error's text in `wrong`.
 template <typename Value, typename Parse>
-std::optional<Value> valueOf(Parse parse, std::string *wrong = nullptr)
+std::optional<Value> valueOf(Parse parse, std::string *errorText = nullptr)
 {
     return boost::leaf::try_handle_all(
         [&]() -> Result<std::optional<Value>> {
@@ -42,8 +42,8 @@
             return std::optional<Value>(std::move(value));
         },
         [&](const FieldError &error) {
-            if (wrong)
-                *wrong = toText(error);
+            if (errorText)
+                *errorText = toText(error);
             return std::optional<Value>();
         },
         [] { return std::optional<Value>(); });
@@ -55,14 +55,14 @@
 }
 
 std::optional<ServingConfigurationPtr> configurationFrom(const std::string &text,
-                                                         std::string *wrong = nullptr)
+                                                         std::string *errorText = nullptr)
 {
-    return valueOf<ServingConfigurationPtr>([&] { return platform::decodeConfiguration(text); }, wrong);
+    return valueOf<ServingConfigurationPtr>([&] { return platform::decodeConfiguration(text); }, errorText);
 }
 
-std::optional<GatewayDaemonSettings> settingsFrom(const std::string &text, std::string *wrong = nullptr)
+std::optional<GatewayDaemonSettings> settingsFrom(const std::string &text, std::string *errorText = nullptr)
 {
-    return valueOf<GatewayDaemonSettings>([&] { return parseGatewaySettings(text); }, wrong);
+    return valueOf<GatewayDaemonSettings>([&] { return parseGatewaySettings(text); }, errorText);
 }
 
 constexpr const char *ConfigurationText = R"({"Version":7,"Routes":[
@@ -110,17 +110,17 @@
 
 TEST_CASE("a malformed request is rejected with the name of the invalid header")
 {
-    CHECK(wrongField(makeHttp()).empty());
-    CHECK(wrongField(makeHttp({{"host", "other.example"}})) == "host");
-    CHECK(wrongField(makeHttp({{"X-Request-Id", "again"}})) == "X-Request-Id");
-    CHECK(wrongField(makeHttp({{"X-Deadline-Ms", "soon"}})) == "X-Deadline-Ms");
-    CHECK(wrongField(makeHttp({{"X-Token-Count", "12"}})) == "X-Token-Count");
-    CHECK(wrongField(makeHttp({{"X-Token-Count", "12,-4"}})) == "X-Token-Count");
-    CHECK(wrongField(makeHttp({{"X-Prompt-Prefix", "abc"}})) == "X-Prompt-Prefix");
-    CHECK(wrongField(makeHttp({{"Last-Event-Id", "x"}})) == "Last-Event-Id");
+    CHECK(invalidField(makeHttp()).empty());
+    CHECK(invalidField(makeHttp({{"host", "other.example"}})) == "host");
+    CHECK(invalidField(makeHttp({{"X-Request-Id", "again"}})) == "X-Request-Id");
+    CHECK(invalidField(makeHttp({{"X-Deadline-Ms", "soon"}})) == "X-Deadline-Ms");
+    CHECK(invalidField(makeHttp({{"X-Token-Count", "12"}})) == "X-Token-Count");
+    CHECK(invalidField(makeHttp({{"X-Token-Count", "12,-4"}})) == "X-Token-Count");
+    CHECK(invalidField(makeHttp({{"X-Prompt-Prefix", "abc"}})) == "X-Prompt-Prefix");
+    CHECK(invalidField(makeHttp({{"Last-Event-Id", "x"}})) == "Last-Event-Id");
     HttpRequest noId = makeHttp();
     noId.headers.pop_back();
-    CHECK(wrongField(noId) == "X-Request-Id");
+    CHECK(invalidField(noId) == "X-Request-Id");
 }
 
 TEST_CASE("an attempt carries the headers that the gateway sets")
@@ -132,7 +132,7 @@
     order.organisation.value = "t";
     order.urgency = 2;
     order.resumeAfter = 12;
-    order.memory = RunMemory{{"10.0.0.2", 8080}, "h9"};
+    order.migratedKvCache = MigratedKvCache{{"10.0.0.2", 8080}, "h9"};
     const HttpRequest out = platform::encodeAttempt(order);
     CHECK(headerOf(out.headers, "X-Deadline-Ms") == "400");
     CHECK(headerOf(out.headers, "X-Expect-Instance") == "i-7");
@@ -148,17 +148,17 @@
     const CallerRequestPtr request = *decoded(makeHttp());
     AttemptHead head = platform::decodeHead({1}, *request, 503, {{"X-Not-Executed", "1"}});
     CHECK(head.notExecuted);
-    CHECK(head.ownAnswer);
+    CHECK(head.matchesRequest);
     head = platform::decodeHead({1}, *request, 421, {});
     CHECK(head.wrongInstance);
     head = platform::decodeHead({1}, *request, 200,
                                 {{"X-Request-Id", "9c41"}, {"Content-Type", "text/event-stream"}});
     CHECK(head.eventStream);
-    CHECK(head.ownAnswer);
+    CHECK(head.matchesRequest);
     head = platform::decodeHead({1}, *request, 200, {{"X-Request-Id", "other"}});
-    CHECK_FALSE(head.ownAnswer);
+    CHECK_FALSE(head.matchesRequest);
     head = platform::decodeHead({1}, *request, 200, {});
-    CHECK_FALSE(head.ownAnswer);
+    CHECK_FALSE(head.matchesRequest);
 }
 
 TEST_CASE("an invalid Server-Limit header gives an error and no limit")
@@ -203,7 +203,7 @@
     CHECK_FALSE(configuration.findRoute("g", "/a/x"));
     CHECK(configuration.findByKey("k2")->ratePerSecond == 184580);
     const ServedService *service = configuration.findService({"s1"});
-    CHECK(service->engine->movesRuns);
+    CHECK(service->engine->migratesGenerations);
     CHECK(service->scaling->bootDelay.count == 4500);
     CHECK(service->scaling->prices.at({"deusto"}) == 1.25);
     CHECK(configuration.limits.idleTimeout.count == 15000);
@@ -211,12 +211,12 @@
 
 TEST_CASE("an invalid configuration is rejected with the field's name")
 {
-    std::string wrong;
+    std::string errorText;
     std::string text = ConfigurationText;
     text.replace(text.find("\"streaming\""), 11, "\"sometimes\"");
-    CHECK_FALSE(configurationFrom(text, &wrong));
-    CHECK(wrong == "Routes[0].Kind: is not a known kind");
-    CHECK_FALSE(configurationFrom("{\"Routes\":[", &wrong));
+    CHECK_FALSE(configurationFrom(text, &errorText));
+    CHECK(errorText == "Routes[0].Kind: is not a known kind");
+    CHECK_FALSE(configurationFrom("{\"Routes\":[", &errorText));
 
     // In the store codec, an unreadable configuration is not reported as a configuration, so it does not
     // confirm the previous one either.
@@ -279,22 +279,22 @@
 
 TEST_CASE("an invalid roll-out order is rejected with the field's name, and the previous order stays")
 {
-    const auto wrongIn = [](const std::string &text) {
-        std::string wrong;
-        CHECK_FALSE(valueOf<RolloutOrder>([&] { return platform::decodeRollout("s", text); }, &wrong));
-        return wrong;
+    const auto errorOf = [](const std::string &text) {
+        std::string errorText;
+        CHECK_FALSE(valueOf<RolloutOrder>([&] { return platform::decodeRollout("s", text); }, &errorText));
+        return errorText;
     };
     const std::optional<RolloutOrder> order = valueOf<RolloutOrder>(
         [] { return platform::decodeRollout("s", R"({"Service":"s","Target":"v2","DurationS":12})"); });
     REQUIRE(order);
     CHECK(order->target.value == "v2");
     CHECK(order->duration.count == 12'000);
-    CHECK(wrongIn(R"({"Service":"s","Target":"v2","DurationS":0})") == "s.DurationS: must be above 0");
-    CHECK(wrongIn(R"({"Service":"s","Target":"","DurationS":9})") == "s.Target: must not be empty");
-    CHECK(wrongIn(R"({"Service":"t","Target":"v2","DurationS":9})")
+    CHECK(errorOf(R"({"Service":"s","Target":"v2","DurationS":0})") == "s.DurationS: must be above 0");
+    CHECK(errorOf(R"({"Service":"s","Target":"","DurationS":9})") == "s.Target: must not be empty");
+    CHECK(errorOf(R"({"Service":"t","Target":"v2","DurationS":9})")
           == "s.Service: is not the one that the key names");
-    CHECK(wrongIn(R"({"Service":"s","DurationS":9})").starts_with("s.Target"));
-    CHECK_FALSE(wrongIn("[]").empty());
+    CHECK(errorOf(R"({"Service":"s","DurationS":9})").starts_with("s.Target"));
+    CHECK_FALSE(errorOf("[]").empty());
 
     RecordingLog log;
     platform::StoreCodec codec(log);
@@ -337,11 +337,11 @@
     CHECK(codec.decode(call, 200, {{"Store-Era", "3"}}, body).era == 3);
     CHECK(codec.decode(call, 503, {{"store-era", "4"}}, "").era == 4);
     CHECK_FALSE(codec.decode(call, 200, {}, body).era);
-    for (const char *wrong : {"-1", "4x", "1e3", "99999999999999999999"}) {
-        const StoreReply reply = codec.decode(call, 200, {{"Store-Era", wrong}}, body);
+    for (const char *invalidEra : {"-1", "4x", "1e3", "99999999999999999999"}) {
+        const StoreReply reply = codec.decode(call, 200, {{"Store-Era", invalidEra}}, body);
         CHECK_FALSE(reply.era);
         CHECK(reply.outcome == StoreOutcome::Done);
-        codec.decode(call, 200, {{"Store-Era", wrong}}, body);
+        codec.decode(call, 200, {{"Store-Era", invalidEra}}, body);
     }
     CHECK(log.count("store_era_unreadable") == 4);
 }
@@ -368,9 +368,9 @@
     = R"({"Service":"s","Address":"10.0.0.9:80","Zone":"z","Version":"v1","Slots":64,
  "State":"ready","ColdRemainingMs":0,"Stage":"prefill_decode","Models":[],"Seq":4,"born":1764700000000})";
 
-std::optional<EndpointEntry> entryFrom(const std::string &text, std::string *wrong = nullptr)
+std::optional<EndpointEntry> entryFrom(const std::string &text, std::string *errorText = nullptr)
 {
-    return valueOf<EndpointEntry>([&] { return platform::decodeEndpoint("i-7", text); }, wrong);
+    return valueOf<EndpointEntry>([&] { return platform::decodeEndpoint("i-7", text); }, errorText);
 }
 
 // Returns the entry with `field` replaced by `value`, or without the field if there is no value.
@@ -389,17 +389,17 @@
 {
     // Guards against entries of other writers under an endpoint's key, with a field that is missing, of the
     // wrong type or out of range. If used, they would send callers' requests to an unrelated process.
-    std::string wrong;
-    const std::optional<EndpointEntry> entry = entryFrom(EntryText, &wrong);
-    REQUIRE_MESSAGE(entry, wrong);
+    std::string errorText;
+    const std::optional<EndpointEntry> entry = entryFrom(EntryText, &errorText);
+    REQUIRE_MESSAGE(entry, errorText);
     CHECK(entry->start.unixMs == 1764700000000);
     CHECK_FALSE(entry->leaving);
     CHECK(entryFrom(entryWith("State", "\"draining\""))->leaving);
     CHECK(entryFrom(entryWith("born", std::nullopt))->start.unixMs == 0);
     for (const char *field :
          {"Service", "Address", "Zone", "Version", "Slots", "State", "ColdRemainingMs", "Seq"}) {
-        CHECK_FALSE_MESSAGE(entryFrom(entryWith(field, std::nullopt), &wrong), field);
-        CHECK(wrong == std::string("i-7.") + field + ": is missing");
+        CHECK_FALSE_MESSAGE(entryFrom(entryWith(field, std::nullopt), &errorText), field);
+        CHECK(errorText == std::string("i-7.") + field + ": is missing");
         for (const char *other : {"null", "[]", "{}", "true"})
             CHECK_FALSE_MESSAGE(entryFrom(entryWith(field, other)), field, " ", other);
     }
@@ -455,26 +455,28 @@
 
 TEST_CASE("leader tasks and migrations are encoded, and their replies decoded")
 {
-    DutyCall call;
+    LeaderCall call;
     call.fencingToken = 12;
     call.usage = UsageReport{353, {{{"a"}, 412}}};
-    HttpRequest request = platform::encodeDuty(call, {"front-1"});
+    HttpRequest request = platform::encodeLeaderTask(call, {"front-1"});
     CHECK(request.target == "/usage");
     CHECK(headerOf(request.headers, "X-Fence-Token") == "12");
     CHECK(request.body == R"({"WindowId":353,"Counts":{"a":412}})");
     call.usage.reset();
     call.order = EngineOrder{{"s"}, {"z"}, 6, true};
-    request = platform::encodeDuty(call, {"front-1"});
+    request = platform::encodeLeaderTask(call, {"front-1"});
     CHECK(request.target == "/scale");
     CHECK(request.body == R"({"Service":"s","Zone":"z","DesiredCount":6,"Spot":true})");
-    CHECK(platform::decodeDutyStatus(409) == DutyOutcome::NoneAvailable);
-    CHECK(platform::decodeDutyStatus(0) == DutyOutcome::NoReply);
-
-    CHECK(platform::decodeMove({1}, 200, R"({"Handle":"h","Created":5})").outcome == MoveOutcome::Moved);
-    CHECK(platform::decodeMove({1}, 200, R"({"Handle":17})").handle == "17");
-    CHECK(platform::decodeMove({1}, 200, "{}").outcome == MoveOutcome::NoReply);
-    CHECK(platform::decodeMove({1}, 404, "").outcome == MoveOutcome::NoSuchRun);
-    CHECK(platform::decodeMove({1}, 503, R"({"Handle":"h"})").outcome == MoveOutcome::NoRoom);
+    CHECK(platform::decodeLeaderTaskStatus(409) == LeaderCallOutcome::NoneAvailable);
+    CHECK(platform::decodeLeaderTaskStatus(0) == LeaderCallOutcome::NoReply);
+
+    CHECK(platform::decodeMigrationReply({1}, 200, R"({"Handle":"h","Created":5})").outcome
+          == MigrationOutcome::Migrated);
+    CHECK(platform::decodeMigrationReply({1}, 200, R"({"Handle":17})").handle == "17");
+    CHECK(platform::decodeMigrationReply({1}, 200, "{}").outcome == MigrationOutcome::NoReply);
+    CHECK(platform::decodeMigrationReply({1}, 404, "").outcome == MigrationOutcome::NoSuchGeneration);
+    CHECK(platform::decodeMigrationReply({1}, 503, R"({"Handle":"h"})").outcome
+          == MigrationOutcome::NoCapacity);
 }
 
 TEST_CASE("settings: the error names a missing, invalid or unknown field")
@@ -482,21 +484,21 @@
     const std::string good = R"({"instance":"f","failureDomain":"z","callerAddress":"10.0.0.1:1",
         "readinessAddress":"10.0.0.1:2","entryAddress":"10.0.0.1:3","peerAddress":"10.0.0.1:4",
         "storeAddress":"10.0.0.2:1","dutyAddress":"","revokeBoundMs":5000,"stopGraceSeconds":8})";
-    std::string wrong;
-    const std::optional<GatewayDaemonSettings> settings = settingsFrom(good, &wrong);
-    REQUIRE_MESSAGE(settings, wrong);
+    std::string errorText;
+    const std::optional<GatewayDaemonSettings> settings = settingsFrom(good, &errorText);
+    REQUIRE_MESSAGE(settings, errorText);
     CHECK(settings->stopGrace.count == 8000);
     CHECK(settings->dutyAddress.port == 0);
     std::string text = good;
     text.replace(text.find("\"failureDomain\":\"z\","), 20, "");
-    CHECK_FALSE(settingsFrom(text, &wrong));
-    CHECK(wrong == "failureDomain: is missing");
+    CHECK_FALSE(settingsFrom(text, &errorText));
+    CHECK(errorText == "failureDomain: is missing");
     text = good;
     text.replace(text.find("5000"), 4, "\"x\"");
-    CHECK_FALSE(settingsFrom(text, &wrong));
-    CHECK(wrong == "revokeBoundMs: must be a number");
+    CHECK_FALSE(settingsFrom(text, &errorText));
+    CHECK(errorText == "revokeBoundMs: must be a number");
     text = good;
     text.replace(text.find("stopGraceSeconds"), 16, "stopGraceSecond");
-    CHECK_FALSE(settingsFrom(text, &wrong));
-    CHECK(wrong == "stopGraceSecond: is not a known field");
+    CHECK_FALSE(settingsFrom(text, &errorText));
+    CHECK(errorText == "stopGraceSecond: is not a known field");
 }
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -48,25 +48,25 @@
     if (record)
         known.records[modelService] = *record;
     RolloutView view;
-    view.take(known, {1000});
+    view.update(known, {1000});
     return view;
 }
 
 /// Runs the roll-out controller against a store, with observations set by the test.
-class DutyBench
+class RolloutFixture
 {
 public:
-    DutyBench() : store(1), duty(log)
+    RolloutFixture() : store(1), controller(log)
     {
         leadership.held = true;
         leadership.fencingToken = 1;
         leadership.validUntil = {1'000'000'000};
         store.put(StoreSpace::Shared, LeaderKey, "self");
-        leadership.stands = {StoreSpace::Shared, LeaderKey, 1};
+        leadership.leaderCondition = {StoreSpace::Shared, LeaderKey, 1};
         facts[modelService] = {};
         facts[modelService].otherEndpoints = 60;
         facts[modelService].requestsPerSecond = 150;
-        facts[modelService].placesOfTarget = 49;
+        facts[modelService].slotsPerTarget = 49;
         facts[modelService].runningElsewhere = 150;
         facts[modelService].otherVersions = {oldVersion};
         rollouts.known.era = 1;
@@ -77,15 +77,15 @@
     {
         for (const TimeMs until = now + duration; now < until;) {
             now = now + Step;
-            duty.tick(leadership, rollouts, facts, WallOffset + now.count, now);
-            for (const StoreCall &call : duty.takeStoreCalls()) {
+            controller.tick(leadership, rollouts, facts, WallOffset + now.count, now);
+            for (const StoreCall &call : controller.takeStoreCalls()) {
                 if (call.rolloutStatus)
-                    told.push_back(call.rolloutStatus->stage);
+                    reportedStages.push_back(call.rolloutStatus->stage);
                 store.submit(0, call, now);
             }
             for (const std::pair<size_t, StoreReply> &reply : store.replies(now))
-                duty.onStoreReply(reply.second, now);
-            for (const RolloutDuty::Written &written : duty.takeWritten()) {
+                controller.onStoreReply(reply.second, now);
+            for (const RolloutController::Written &written : controller.takeWritten()) {
                 rollouts.known.records[modelService] = written.record;
                 rollouts.stored[modelService] = {recordText(written.record), written.revision};
             }
@@ -95,12 +95,12 @@
 
     FakeStore store;
     RecordingLog log;
-    RolloutDuty duty;
+    RolloutController controller;
     Leadership leadership;
     StoreSync::Rollouts rollouts;
-    std::map<ServiceName, RolloutFacts> facts;
+    std::map<ServiceName, RolloutObservations> facts;
     TimeMs now{1000};
-    std::vector<RolloutStage> told;
+    std::vector<RolloutStage> reportedStages;
 };
 
 } // namespace
@@ -121,16 +121,16 @@
     // of the store was made, and the restored copy still has the trial in progress.
     const RolloutRecord rolledBack = makeRecord(RolloutStage::RolledBack);
     const RolloutRecord older = makeRecord(RolloutStage::Trial);
-    CHECK(furtherRecord(older, rolledBack).stage == RolloutStage::RolledBack);
-    CHECK(furtherRecord(rolledBack, older).stage == RolloutStage::RolledBack);
+    CHECK(mergeRecords(older, rolledBack).stage == RolloutStage::RolledBack);
+    CHECK(mergeRecords(rolledBack, older).stage == RolloutStage::RolledBack);
     // The operators wrote the order again in the next era, with another revision.
     const RolloutRecord again = makeRecord(RolloutStage::Trial, 7, 2);
-    CHECK(furtherRecord(rolledBack, again).stage == RolloutStage::RolledBack);
-    CHECK(furtherRecord(rolledBack, again).order == 7);
-    CHECK(isOf(rolledBack, makeOrder(newVersion, 7), 2));
+    CHECK(mergeRecords(rolledBack, again).stage == RolloutStage::RolledBack);
+    CHECK(mergeRecords(rolledBack, again).order == 7);
+    CHECK(belongsTo(rolledBack, makeOrder(newVersion, 7), 2));
     // In the same era another revision is another order, possibly of the same version.
-    CHECK_FALSE(isOf(rolledBack, makeOrder(newVersion, 12), 1));
-    CHECK(furtherRecord(rolledBack, makeRecord(RolloutStage::Trial, 12)).stage == RolloutStage::Trial);
+    CHECK_FALSE(belongsTo(rolledBack, makeOrder(newVersion, 12), 1));
+    CHECK(mergeRecords(rolledBack, makeRecord(RolloutStage::Trial, 12)).stage == RolloutStage::Trial);
 }
 
 TEST_CASE("the routing rule of each stage")
@@ -146,7 +146,7 @@
     CHECK(ruleIn(RolloutStage::Moving, WallOffset + MovingTime.count / 2).targetShare
           == doctest::Approx(0.525));
     CHECK(ruleIn(RolloutStage::Emptying).targetShare == 1);
-    CHECK(ruleIn(RolloutStage::Emptying).alsoRepeats);
+    CHECK(ruleIn(RolloutStage::Emptying).includesRetries);
     CHECK(ruleIn(RolloutStage::Completed).target.value.empty());
     CHECK(ruleIn(RolloutStage::Completed).barred == std::set<SoftwareVersion>{{"v0"}});
     RolloutRecord bad = makeRecord(RolloutStage::RolledBack);
@@ -162,14 +162,14 @@
               .rule(modelService, WallOffset)
               .barred.contains(newVersion));
     RolloutView view = makeView({}, std::nullopt);
-    view.noteListed(modelService, oldVersion, {900});
-    view.noteListed(modelService, newVersion, {1500});
+    view.recordListed(modelService, oldVersion, {900});
+    view.recordListed(modelService, newVersion, {1500});
     CHECK(view.rule(modelService, WallOffset).barred == std::set<SoftwareVersion>{newVersion});
-    view.take({}, {1600});
+    view.update({}, {1600});
     CHECK(view.rule(modelService, WallOffset).barred.empty());
     // A version that is the only one gets all requests.
     RolloutView alone = makeView({}, std::nullopt);
-    alone.noteListed(modelService, newVersion, {1500});
+    alone.recordListed(modelService, newVersion, {1500});
     CHECK(alone.rule(modelService, WallOffset).barred.empty());
 }
 
@@ -184,13 +184,13 @@
     next.orders = {makeOrder({"v3"}, 20)};
     next.records[modelService] = makeRecord(RolloutStage::Trial, 20);
     next.records[modelService].target = {"v3"};
-    view.take(next, {2000});
+    view.update(next, {2000});
     CHECK(view.rule(modelService, WallOffset).target == SoftwareVersion{"v3"});
 }
 
 TEST_CASE("a good version passes all stages in the ordered duration, and no request is cut off")
 {
-    DutyBench bench;
+    RolloutFixture bench;
     bench.pass({1000});
     CHECK(bench.stage() == RolloutStage::Starting);
     bench.facts[modelService].targetEndpoints = 60;
@@ -206,14 +206,14 @@
     bench.pass({2000});
     CHECK(bench.stage() == RolloutStage::Completed);
     CHECK(bench.rollouts.known.records.at(modelService).barred.contains(oldVersion));
-    CHECK(bench.told.back() == RolloutStage::Completed);
+    CHECK(bench.reportedStages.back() == RolloutStage::Completed);
 }
 
 TEST_CASE("a bad version is rolled back in any stage, and its share of the requests stays within the bounds")
 {
     for (const DurationMs at : {DurationMs{3000}, DurationMs{8000}, DurationMs{11'000}, DurationMs{14'000}}) {
         CAPTURE(at.count);
-        DutyBench bench;
+        RolloutFixture bench;
         bench.facts[modelService].targetEndpoints = 60;
         bench.facts[modelService].isProven = true;
         bench.pass(at);
@@ -231,17 +231,17 @@
 
 TEST_CASE("a target that never starts, or gives too few answers, is rolled back")
 {
-    DutyBench none;
+    RolloutFixture none;
     none.pass({17'000});
     CHECK(none.stage() == RolloutStage::RolledBack);
     // A target with fewer endpoints cannot carry the load of the others: fifteen of sixty answered their
     // trial requests in time, and were overloaded by the full load.
-    DutyBench few;
+    RolloutFixture few;
     few.facts[modelService].targetEndpoints = 15;
     few.facts[modelService].isProven = true;
     few.pass({20'000});
     CHECK(few.stage() == RolloutStage::Trial);
-    DutyBench silent;
+    RolloutFixture silent;
     silent.facts[modelService].targetEndpoints = 60;
     silent.facts[modelService].figures.othersAnswers = 5000;
     silent.pass({20'000});
@@ -252,7 +252,7 @@
 
 TEST_CASE("a new order supersedes the one before it, whose target gets no more requests")
 {
-    DutyBench bench;
+    RolloutFixture bench;
     bench.facts[modelService].targetEndpoints = 60;
     bench.pass({3000});
     REQUIRE(bench.stage() == RolloutStage::Trial);
@@ -266,12 +266,12 @@
 TEST_CASE("an order from a restored older store waits until operators could rewrite theirs")
 {
     // The store was restored to a state before the order for v2 was superseded by one for v3.
-    DutyBench bench;
+    RolloutFixture bench;
     RolloutRecord present = makeRecord(RolloutStage::Trial, 30);
     present.target = {"v3"};
     bench.rollouts.known.records[modelService] = present;
     bench.rollouts.known.era = 2;
-    bench.rollouts.mayBeOlder = true;
+    bench.rollouts.mayBeStale = true;
     bench.pass({2000});
     CHECK(bench.rollouts.known.records.at(modelService).target == SoftwareVersion{"v3"});
     bench.rollouts.known.orders = {makeOrder({"v3"}, 9)};
@@ -284,7 +284,7 @@
 {
     // A leader is paused, another daemon becomes leader, and the first one resumes with an evaluation: its
     // write must be rejected.
-    DutyBench bench;
+    RolloutFixture bench;
     bench.facts[modelService].targetEndpoints = 60;
     bench.pass({3000});
     REQUIRE(bench.stage() == RolloutStage::Trial);
@@ -293,14 +293,14 @@
     bench.facts[modelService].isBad = true;
     bench.pass({3000});
     CHECK(bench.rollouts.known.records.at(modelService) == before);
-    bench.leadership.stands = {StoreSpace::Shared, "another-holder", 0}; // This condition holds.
+    bench.leadership.leaderCondition = {StoreSpace::Shared, "another-holder", 0}; // This condition holds.
     bench.pass({1000});
     CHECK(bench.stage() == RolloutStage::RolledBack);
 }
 
 TEST_CASE("an order for a service that the configuration lacks is refused once, with its field")
 {
-    DutyBench bench;
+    RolloutFixture bench;
     bench.facts[modelService].isKnownService = false;
     bench.pass({3000});
     CHECK(bench.rollouts.known.records.empty());
@@ -309,7 +309,7 @@
 
 TEST_CASE("a trial ends even with few requests per hour")
 {
-    DutyBench bench;
+    RolloutFixture bench;
     bench.facts[modelService].requestsPerSecond = 0.1;
     bench.facts[modelService].targetEndpoints = 60;
     bench.facts[modelService].runningElsewhere = 0;
--- a/tests/storeera_test.cpp
+++ b/tests/storeera_test.cpp
@@ -22,10 +22,10 @@
 }
 
 /// Simulates daemons at one store that query each other. Keeps the newest configuration that each received.
-class EraWorld
+class EraSimulation
 {
 public:
-    EraWorld() : store(3)
+    EraSimulation() : store(3)
     {
         store.putConfiguration(makeConfiguration(7));
         store.settle();
@@ -42,10 +42,10 @@
         return i;
     }
     /// Its records are complete, should it be the leader.
-    void makeRecordsWhole(size_t i) { syncs_[i]->setRecordsWhole(true); }
-    void ask(size_t asker, size_t asked) { syncs_[asker]->setSource(addressOf(asked)); }
+    void completeRecords(size_t i) { syncs_[i]->setRecordsComplete(true); }
+    void setSource(size_t asker, size_t source) { syncs_[asker]->setSource(addressOf(source)); }
 
-    void pass(DurationMs duration)
+    void advance(DurationMs duration)
     {
         for (const TimeMs until = now + duration; now < until;) {
             now = now + Step;
@@ -59,7 +59,7 @@
             for (std::pair<size_t, StoreReply> &reply : store.replies(now))
                 syncs_[reply.first]->onReply(reply.second, now);
             for (size_t i = 0; i < syncs_.size(); ++i) {
-                for (const ConfigurationRead &read : syncs_[i]->takeNews().configurations)
+                for (const ConfigurationRead &read : syncs_[i]->takeUpdates().configurations)
                     versions[i] = std::max(versions[i], read.configuration->version);
             }
         }
@@ -75,10 +75,10 @@
     void deliver(size_t from, const StoreSync::Outgoing &outgoing)
     {
         const size_t to = outgoing.to.port - addressOf(0).port;
-        if (const FreshnessQuestion *question = std::get_if<FreshnessQuestion>(&outgoing.message))
-            syncs_[to]->onQuestion(*question, addressOf(from), now);
+        if (const FreshnessQuery *question = std::get_if<FreshnessQuery>(&outgoing.message))
+            syncs_[to]->onFreshnessQuery(*question, addressOf(from), now);
         else
-            syncs_[to]->onAnswer(std::get<FreshnessAnswer>(outgoing.message), now);
+            syncs_[to]->onFreshnessReply(std::get<FreshnessReply>(outgoing.message), now);
     }
 
     std::vector<std::unique_ptr<StoreSync>> syncs_;
@@ -97,14 +97,14 @@
     return entry;
 }
 
-bool takesWork(const EndpointFleet &fleet, TimeMs now)
+bool acceptsRequests(const EndpointFleet &fleet, TimeMs now)
 {
     CallerRequest request;
     request.id = "r";
-    PlacementQuestion question;
-    question.service.value = "model";
-    question.request = &request;
-    const PlacementResult result = fleet.choose(question, now);
+    PlacementQuery query;
+    query.service.value = "model";
+    query.request = &request;
+    const PlacementResult result = fleet.choose(query, now);
     return result.choice && fleet.find(result.choice->endpoint)->avoidUntil <= now;
 }
 
@@ -115,21 +115,21 @@
     // Version 8 removes a key and is acknowledged. The store is restored from an earlier copy, and the
     // operators write version 8 again only seconds later. A daemon that starts in between reads version 7 and
     // would accept the key, although its peers know of its removal.
-    EraWorld world;
+    EraSimulation world;
     const size_t first = world.start();
-    world.pass({3000});
+    world.advance({3000});
     world.store.saveCopy();
     world.store.putConfiguration(makeConfiguration(8));
-    world.pass({2000});
+    world.advance({2000});
     REQUIRE(world.versions[first] == 8);
     world.store.comeBackFromCopy();
-    world.pass({200});
+    world.advance({200});
     const size_t late = world.start();
-    world.ask(late, first);
-    world.pass({3000});
+    world.setSource(late, first);
+    world.advance({3000});
     CHECK(world.versions[late] == 0);
     world.store.putConfiguration(makeConfiguration(8));
-    world.pass({1500});
+    world.advance({1500});
     CHECK(world.versions[late] == 8);
     CHECK(world.versions[first] == 8);
 }
@@ -137,20 +137,20 @@
 // Guards against a removed key that is accepted again because the leader settled the era too early.
 TEST_CASE("an era is not settled while the store lacks a configuration that the leader has seen")
 {
-    EraWorld world;
+    EraSimulation world;
     const size_t first = world.start();
-    world.makeRecordsWhole(first);
-    world.pass({8000});
+    world.completeRecords(first);
+    world.advance({8000});
     world.store.saveCopy();
     world.store.putConfiguration(makeConfiguration(8));
-    world.pass({2000});
+    world.advance({2000});
     world.store.comeBackFromCopy();
-    world.pass({2500});
+    world.advance({2500});
     const size_t late = world.start();
-    world.pass({2500});
+    world.advance({2500});
     CHECK(world.versions[late] == 0);
     world.store.putConfiguration(makeConfiguration(8));
-    world.pass({2500});
+    world.advance({2500});
     CHECK(world.versions[late] == 8);
 }
 
@@ -158,38 +158,38 @@
 // its era was first settled.
 TEST_CASE("the view of a later era that was never settled is not used at once")
 {
-    EraWorld world;
+    EraSimulation world;
     world.store.remove(StoreSpace::Shared, SettledEraKey);
     world.start();
-    world.pass({3000});
+    world.advance({3000});
     world.store.saveCopy();
     world.store.settle();
     world.store.putConfiguration(makeConfiguration(8));
-    world.pass({2000});
+    world.advance({2000});
     world.store.comeBackFromCopy();
-    world.pass({200});
+    world.advance({200});
     const size_t late = world.start();
-    world.pass({3000});
+    world.advance({3000});
     CHECK(world.versions[late] == 0);
     world.store.putConfiguration(makeConfiguration(8));
-    world.pass({2500});
+    world.advance({2500});
     CHECK(world.versions[late] == 8);
 }
 
 // Guards against a removed key that is accepted again because the first read of the store succeeded late.
 TEST_CASE("the time to restore the configuration starts with a daemon's first view of the store")
 {
-    EraWorld world;
+    EraSimulation world;
     world.store.saveCopy();
     world.store.comeBackFromCopy();
     world.store.faults.down = true;
     const size_t late = world.start();
-    world.pass({6000});
+    world.advance({6000});
     world.store.faults.down = false;
-    world.pass({2500});
+    world.advance({2500});
     CHECK(world.versions[late] == 0);
     world.store.putConfiguration(makeConfiguration(8));
-    world.pass({5000});
+    world.advance({5000});
     CHECK(world.versions[late] == 8);
 }
 
@@ -197,13 +197,13 @@
     "a daemon that starts just after a restore, without peers to query, serves after the time to restore")
 {
     // All daemons were killed at the same moment: none knows more than the store.
-    EraWorld world;
+    EraSimulation world;
     world.store.saveCopy();
     world.store.comeBackFromCopy();
     const size_t late = world.start();
-    world.pass({3000});
+    world.advance({3000});
     CHECK(world.versions[late] == 0);
-    world.pass({3000});
+    world.advance({3000});
     CHECK(world.versions[late] == 7);
 }
 
@@ -211,18 +211,18 @@
 {
     EndpointFleet fleet;
     TimeMs now{100'000};
-    fleet.take({{makeEntry("i-1")}, now, 4}, now);
-    REQUIRE(takesWork(fleet, now));
+    fleet.applyList({{makeEntry("i-1")}, now, 4}, now);
+    REQUIRE(acceptsRequests(fleet, now));
     now = now + DurationMs{1000};
-    fleet.take({{makeEntry("i-1", true)}, now, 4}, now);
+    fleet.applyList({{makeEntry("i-1", true)}, now, 4}, now);
     now = now + DurationMs{1000};
-    fleet.take({{}, now, 4}, now);
+    fleet.applyList({{}, now, 4}, now);
     now = now + DurationMs{1000};
-    fleet.take({{makeEntry("i-1")}, now, 5}, now);
-    CHECK_FALSE(takesWork(fleet, now));
+    fleet.applyList({{makeEntry("i-1")}, now, 5}, now);
+    CHECK_FALSE(acceptsRequests(fleet, now));
     now = now + DurationMs{10000};
-    fleet.take({{makeEntry("i-1")}, now, 5}, now);
-    CHECK_FALSE(takesWork(fleet, now));
+    fleet.applyList({{makeEntry("i-1")}, now, 5}, now);
+    CHECK_FALSE(acceptsRequests(fleet, now));
 }
 
 TEST_CASE("an endpoint that had gone is used again if its entry is kept after the restore")
@@ -230,15 +230,15 @@
     // It crashed after the copy was made. The restored store lists it until its entry lapses.
     EndpointFleet fleet;
     TimeMs now{100'000};
-    fleet.take({{makeEntry("i-1")}, now, 4}, now);
+    fleet.applyList({{makeEntry("i-1")}, now, 4}, now);
     now = now + DurationMs{1000};
-    fleet.take({{}, now, 4}, now);
+    fleet.applyList({{}, now, 4}, now);
     now = now + DurationMs{1000};
-    fleet.take({{makeEntry("i-1")}, now, 5}, now);
-    CHECK_FALSE(takesWork(fleet, now));
+    fleet.applyList({{makeEntry("i-1")}, now, 5}, now);
+    CHECK_FALSE(acceptsRequests(fleet, now));
     now = now + DurationMs{5000};
-    fleet.take({{makeEntry("i-1")}, now, 5}, now);
-    CHECK(takesWork(fleet, now));
+    fleet.applyList({{makeEntry("i-1")}, now, 5}, now);
+    CHECK(acceptsRequests(fleet, now));
 }
 
 TEST_CASE("an endpoint that the restored store lacks is kept until it could write its entry again")
@@ -247,13 +247,13 @@
     // endpoints.
     EndpointFleet fleet;
     TimeMs now{100'000};
-    fleet.take({{makeEntry("i-1")}, now, 4}, now);
+    fleet.applyList({{makeEntry("i-1")}, now, 4}, now);
     now = now + DurationMs{400};
-    fleet.take({{}, now, 5}, now);
-    CHECK(takesWork(fleet, now));
+    fleet.applyList({{}, now, 5}, now);
+    CHECK(acceptsRequests(fleet, now));
     for (int i = 0; i < 6; ++i) {
         now = now + DurationMs{500};
-        fleet.take({{}, now, 5}, now);
+        fleet.applyList({{}, now, 5}, now);
     }
-    CHECK_FALSE(takesWork(fleet, now));
+    CHECK_FALSE(acceptsRequests(fleet, now));
 }
--- a/tests/versionevaluator_test.cpp
+++ b/tests/versionevaluator_test.cpp
@@ -37,7 +37,7 @@
 
 /// The simplest alternative: alarms if over the last three seconds the share of bad answers exceeds that of
 /// the other versions by a sixth, from twenty answers on.
-class ThresholdJudge
+class ThresholdEvaluator
 {
 public:
     void take(const std::vector<TrialCount> &sums)
@@ -98,9 +98,9 @@
         for (uint64_t i = 0; i < requests; ++i) {
             const int route = static_cast<int>(random.below(3));
             const uint32_t endpoint = static_cast<uint32_t>(random.below(6));
-            const bool isStruck = second >= fault.fromSecond && (!fault.onOneRoute || route == 0);
+            const bool isFaulty = second >= fault.fromSecond && (!fault.onOneRoute || route == 0);
             note(route, endpoint,
-                 chance(usual) || (grey[endpoint] && chance(0.4)) || (isStruck && chance(fault.part)));
+                 chance(usual) || (grey[endpoint] && chance(0.4)) || (isFaulty && chance(fault.part)));
         }
         std::vector<TrialCount> sums;
         sums.reserve(counts.size());
@@ -119,7 +119,7 @@
 };
 
 template <typename Judge>
-Result play(const Conditions &conditions, const Fault &fault)
+Result simulateTrials(const Conditions &conditions, const Fault &fault)
 {
     Result out;
     int found = 0;
@@ -145,8 +145,8 @@
 {
     for (const Conditions &conditions : AllConditions) {
         CAPTURE(conditions.name);
-        const Result sequential = play<VersionJudge>(conditions, {});
-        const Result threshold = play<ThresholdJudge>(conditions, {});
+        const Result sequential = simulateTrials<VersionEvaluator>(conditions, {});
+        const Result threshold = simulateTrials<ThresholdEvaluator>(conditions, {});
         MESSAGE(fmt::format("good, {}: found bad in 100: sequential {}, threshold {}", conditions.name,
                             sequential.found, threshold.found));
         CHECK(sequential.found <= 6);
@@ -161,8 +161,8 @@
         for (const Conditions &conditions : AllConditions) {
             CAPTURE(fault.name);
             CAPTURE(conditions.name);
-            const Result sequential = play<VersionJudge>(conditions, fault);
-            const Result threshold = play<ThresholdJudge>(conditions, fault);
+            const Result sequential = simulateTrials<VersionEvaluator>(conditions, fault);
+            const Result threshold = simulateTrials<ThresholdEvaluator>(conditions, fault);
             MESSAGE(fmt::format(
                 "{}, {}: found in 100: sequential {} after {:.1f} s, threshold {} after {:.1f} s", fault.name,
                 conditions.name, sequential.found, sequential.seconds, threshold.found, threshold.seconds));
@@ -174,24 +174,24 @@
 
 TEST_CASE("a version is proven only by answers on each route that is used")
 {
-    VersionJudge judge;
+    VersionEvaluator judge;
     std::vector<TrialCount> sums
         = {{{"s"}, {"v2"}, "a", 1, 60, 0}, {{"s"}, {"v2"}, "a", TrialCount::Others, 600, 6}};
-    judge.take(sums);
+    judge.update(sums);
     CHECK(judge.isProven());
     sums.push_back({{"s"}, {"v2"}, "b", TrialCount::Others, 300, 3});
-    judge.take(sums);
+    judge.update(sums);
     CHECK_FALSE(judge.isProven());
     sums.push_back({{"s"}, {"v2"}, "b", 2, 12, 0});
-    judge.take(sums);
+    judge.update(sums);
     CHECK(judge.isProven());
 }
 
 TEST_CASE("counts that fall because a daemon left are skipped")
 {
-    VersionJudge judge;
+    VersionEvaluator judge;
     const auto take = [&judge](uint64_t answers, uint64_t bad) {
-        judge.take({{{"s"}, {"v2"}, "a", 1, answers, bad}, {{"s"}, {"v2"}, "a", 2, answers, bad}});
+        judge.update({{{"s"}, {"v2"}, "a", 1, answers, bad}, {{"s"}, {"v2"}, "a", 2, answers, bad}});
     };
     for (int i = 0; i < 20; ++i)
         take(i % 2 == 0 ? 100 : 60, i % 2 == 0 ? 50 : 30);
@@ -203,10 +203,10 @@
 {
     // The other versions are overloaded, the target has few endpoints, and one group of them is left out: the
     // score stays below its threshold. Still a third of the answers of the version were slow.
-    VersionJudge judge;
-    judge.take({{{"s"}, {"v2"}, "a", 1, 45, 16}, {{"s"}, {"v2"}, "a", TrialCount::Others, 1000, 80}});
+    VersionEvaluator judge;
+    judge.update({{{"s"}, {"v2"}, "a", 1, 45, 16}, {{"s"}, {"v2"}, "a", TrialCount::Others, 1000, 80}});
     CHECK_FALSE(judge.isProven());
-    VersionJudge good;
-    good.take({{{"s"}, {"v2"}, "a", 1, 45, 6}, {{"s"}, {"v2"}, "a", TrialCount::Others, 1000, 80}});
+    VersionEvaluator good;
+    good.update({{{"s"}, {"v2"}, "a", 1, 45, 6}, {{"s"}, {"v2"}, "a", TrialCount::Others, 1000, 80}});
     CHECK(good.isProven());
 }
