--- a/tests/versionevaluator_test.cpp
+++ b/tests/versionevaluator_test.cpp
@@ -40,7 +40,7 @@
 class ThresholdEvaluator
 {
 public:
-    void take(const std::vector<TrialCount> &sums)
+    void update(const std::vector<TrialCount> &sums)
     {
         std::array<double, 4> now = {};
         for (const TrialCount &each : sums) {
@@ -106,7 +106,7 @@
         sums.reserve(counts.size());
         for (const std::pair<const std::pair<int, uint32_t>, TrialCount> &each : counts)
             sums.push_back(each.second);
-        judge.take(sums);
+        judge.update(sums);
         if (judge.isBad())
             return second + StepSeconds - fault.fromSecond;
     }
