--- a/src/daemon/budgets.cpp
+++ b/src/daemon/budgets.cpp
@@ -15,8 +15,8 @@
 
 } // namespace
 
-// An empty-handed organisation may always start one request of any size: the bucket goes below zero and the
-// next ones wait. Otherwise work larger than the burst could never run.
+// An organisation with a full bucket may start one request of any size: the level drops below zero and later
+// requests wait. Otherwise a request larger than the burst could never run.
 std::optional<DurationMs> OrganisationLimits::take(const Organisation &organisation, uint64_t work,
                                                    size_t daemons, TimeMs now)
 {
--- a/src/daemon/budgets.h
+++ b/src/daemon/budgets.h
@@ -6,11 +6,12 @@
 
 namespace cranberry {
 
-/// Per-organisation token buckets: this daemon's share of each limit, in predicted tokens a second.
+/// Token bucket per organisation, filled with this daemon's share of the limit in predicted tokens per
+/// second.
 class OrganisationLimits
 {
 public:
-    /// Takes `work` tokens, or returns how long until they would be there.
+    /// Takes `work` tokens, or returns the time until they are available.
     std::optional<DurationMs> take(const Organisation &organisation, uint64_t work, size_t daemons,
                                    TimeMs now);
 
@@ -23,7 +24,7 @@
     std::map<OrganisationName, Bucket> buckets_;
 };
 
-/// Retries as a share of successes, so that a failing endpoint never multiplies the load.
+/// Limits retries to a fraction of the successes, so that a failing endpoint does not multiply the load.
 class RetryBudget
 {
 public:
@@ -35,7 +36,8 @@
     double level_ = 20;
 };
 
-/// Full jitter: uniform between 0 and the doubled base, in milliseconds.
+/// Upper bound of the backoff with full jitter: the base doubled per try, up to a maximum. The caller draws a
+/// delay uniformly between 0 and this bound.
 DurationMs backoffCeiling(uint32_t tries);
 
 } // namespace cranberry
--- a/src/daemon/dispatch.cpp
+++ b/src/daemon/dispatch.cpp
@@ -12,7 +12,7 @@
 constexpr DurationMs WitnessLinger{5000};
 constexpr int64_t PercentOfNoticeToStay = 60;
 constexpr DurationMs BatchAgeing{2000};
-/// Tries of one request that end an endpoint together see its end within milliseconds of each other.
+/// Attempts of one request that crash an endpoint together see the crash within milliseconds of each other.
 constexpr int64_t OneEndMs = 1000;
 
 Request *findByAttempt(World &world, AttemptId attempt)
@@ -31,7 +31,7 @@
     request.attempt = {};
 }
 
-// Starts one attempt on the chosen endpoint. The engine goes on from the text generated so far.
+// Starts an attempt on the chosen endpoint. The engine continues from the text generated so far.
 void startAttempt(World &world, Request &request, const Service &service, uint32_t index,
                   const RoutingQuestion &question)
 {
@@ -70,17 +70,18 @@
             world.suspects.timeLeft(request.digest, world.now)});
 }
 
-// Failure: a request ends each endpoint that begins to run it. Symptom: six of them a try, and as many for
-// each new try of its caller, with what others run there. Three ends without an answer are enough: endpoints
-// that only break connections, or end by themselves, leave an answer in between. The endpoint keeps its name
-// when it starts again, so its lives are told apart by the time of their end.
+// Guards against a request that crashes every endpoint that runs it: each submission would crash six
+// endpoints, together with the other requests that run there, and each retry by the caller six more. Three
+// crashes without an answer are sufficient for the quarantine, because endpoints that only break connections
+// or exit for other reasons complete the request in between. An endpoint keeps its name when it restarts, so
+// its incarnations are distinguished by the time of the crash.
 void noteEndpointEnded(World &world, const Request &request)
 {
     const EndpointIncarnation life{{request.endpoint.value}, {world.now.count / OneEndMs}};
     world.suspects.recordCrash({request.digest, life, !request.text.empty()}, world.now);
 }
 
-// True if the request left the queue.
+// Returns true if the request no longer belongs in the queue.
 bool tryDispatch(World &world, Request &request)
 {
     const bool mayDispatch = request.spec->idempotent || request.once.mayDispatch();
@@ -113,10 +114,9 @@
     request.retryAt = world.now + DurationMs{static_cast<int64_t>(world.random.below(ceiling))};
 }
 
-// A retry waits for the budget, too. Failure: engines fall silent under many streams at once, and the budget
-// is empty before all of them went elsewhere. Symptom when those were given up: accepted work that may be
-// repeated was lost, 4 of 150 streams beside a busy machine. Successes fill the budget again long before a
-// deadline.
+// A retry also waits for the retry budget instead of failing without it. If many streams stall at once, the
+// budget is empty before all of them are retried; giving the rest up lost accepted idempotent requests (4 of
+// 150 streams on a busy machine). Successes refill the budget long before a deadline.
 void retryLater(World &world, Request &request, RetryReason reason)
 {
     world.counters.add(reason);
@@ -131,8 +131,8 @@
     request.retryAt = world.now;
 }
 
-// The witness keeps its copy for a while after the end. Failure: the daemon dies with the answer on its way
-// to the caller, who asks for it elsewhere and finds no one who knows the request.
+// The witness keeps its copy for WitnessRetention after the request has ended. Otherwise no daemon would know
+// the request if the owner crashes while the answer is on its way and the caller resumes elsewhere.
 void tickClosed(World &world, Request &request)
 {
     if (request.witnessDropped || !request.witness || world.now - request.endedAt < WitnessLinger)
@@ -159,8 +159,8 @@
 
 } // namespace
 
-// Classes share the queue: interactive work goes in front of batch work that has waited less than its ageing
-// time, so that batch is delayed and never starved.
+// Both work classes share one queue. Interactive requests overtake batch requests that have waited less than
+// BatchAgeing, so that batch work is delayed but never starved.
 void enqueue(World &world, Request &request)
 {
     request.phase = RequestPhase::Queued;
@@ -232,9 +232,9 @@
     runQueue(world);
 }
 
-// Failure: the connection breaks after the request left. Symptom of a resend: the clerk files two versions.
-// Only a proof that nothing ran (no byte left, or the endpoint's own word) allows another attempt of work
-// that is not idempotent; everything else ends as "unknown", at once.
+// If the connection breaks after the request was sent, a resend could run it twice (for example, file a
+// document in two versions). A request that is not idempotent is retried only on proof that nothing ran: no
+// byte was sent, or the endpoint reported it. Any other failure concludes it as "unknown" immediately.
 void onEndpointFailed(World &world, const EndpointFailed &event)
 {
     Request *request = findByAttempt(world, event.attempt);
@@ -259,15 +259,15 @@
         giveUpQuarantined(world, *request);
     } else {
         if (!proved && !request->spec->idempotent)
-            request->once.provedNotRun(); // Reached only with the safeguard taken out.
+            request->once.provedNotRun(); // Reached only when the safeguard is disabled.
         retryLater(world, *request, reasonOf(event.phase));
     }
     runQueue(world);
 }
 
-// An endpoint is told to leave. Idempotent work stays for most of the notice, since what ends by itself costs
-// nothing, and then goes on elsewhere from the text so far; a call that must not be repeated is left to
-// finish.
+// Called when an endpoint is about to leave. Idempotent requests stay for PercentBeforeMove of the notice,
+// since those that complete in that time cost nothing, and then continue on another endpoint from the text
+// generated so far. Requests that must not be repeated run to completion.
 void moveOffEndpoint(World &world, const InstanceName &instance, DurationMs notice)
 {
     for (std::pair<const RequestId, Request> &entry : world.requests) {
@@ -282,7 +282,7 @@
 
 void tickRequests(World &world)
 {
-    // Step 1. Each open request: its register, its backoff, its endpoint's notice, its deadline.
+    // Step 1. For each open request, check its deadline, register query, backoff and endpoint notice.
     std::vector<RequestId> ids;
     ids.reserve(world.requests.size());
     for (const std::pair<const RequestId, Request> &entry : world.requests)
@@ -317,7 +317,7 @@
             retryLater(world, request, RetryReason::EndpointLeaving);
         }
     }
-    // Step 2. Whatever became free or due.
+    // Step 2. Dispatch requests that became due or for which slots became free.
     runQueue(world);
 }
 
--- a/src/daemon/once.cpp
+++ b/src/daemon/once.cpp
@@ -37,8 +37,8 @@
     conclude(world, request, {Outcome::Unknown, reason, DurationMs{0}});
 }
 
-// Another request holds the key: its answer is this caller's answer too. If the key is held by this very
-// request in a daemon that is gone, nobody knows how far it got there.
+// Another request holds the key, so the callers of this request follow that one's answer. If the key is held
+// by this same request at a daemon that is gone, it is unknown whether it ran there.
 void followHolder(World &world, Request &request, const OnceAnswer &answer)
 {
     if (answer.request == request.id)
@@ -84,11 +84,11 @@
     Request &request = found->second;
     const bool refusing = request.once.phase() == OnceAttempt::Phase::Refusing;
     if (refusing != (reply.action == OnceAction::Refuse))
-        return; // An answer to the question before this one.
+        return; // A late reply to an earlier query.
 
     if (reply.answer.verdict == OnceVerdict::Sealed) {
         if (!reply.answer.holder)
-            return; // Not yet certain where the register goes: asked again at the next turn.
+            return; // The successor is not confirmed yet; tickOnce queries again.
         addMark(world, {MarkKind::DaemonMoved, {}, request.spec->key.registrar, reply.answer.holder}, {});
         askRegister(world, request);
         return;
@@ -127,7 +127,8 @@
         sendQuestion(world, request, OnceAction::Finish);
 }
 
-// No timer decides whether work ran: an entry that hears nothing never dispatches, and says so honestly.
+// Never infers from a timeout whether a request ran. Without a reply from the register, the request is not
+// dispatched and its outcome is reported as unknown.
 void tickOnce(World &world, Request &request)
 {
     if (!request.once.waitsForRegister()
--- a/src/daemon/onceattempt.cpp
+++ b/src/daemon/onceattempt.cpp
@@ -23,8 +23,8 @@
         phase_ = keyed_ ? Phase::Granted : Phase::Unkeyed;
 }
 
-// An answer counts only for the question that is open. A late "granted" that arrives after the entry began
-// to refuse, or handed the request over, must not make it dispatch.
+// Ignores replies that don't match the query in flight. A late "granted" that arrives after the entry daemon
+// began to refuse the request, or handed it over, must not cause a dispatch.
 void OnceAttempt::answered(OnceVerdict verdict)
 {
     if (!waitsForRegister())
@@ -44,7 +44,7 @@
         phase_ = Phase::Unknown;
         break;
     case OnceVerdict::Sealed:
-        break; // Asked again at the successor.
+        break; // The query is sent again to the successor.
     }
 }
 
--- a/src/daemon/onceattempt.h
+++ b/src/daemon/onceattempt.h
@@ -4,28 +4,28 @@
 
 namespace cranberry {
 
-/// An entry's side of the at-most-once protocol for one request. Small and copyable, so that the explorer
-/// in tests/ walks through all its states together with OnceRegister.
+/// The entry daemon's side of the at-most-once protocol for one request. Small and copyable, so that the
+/// state explorer in tests/ can enumerate its states together with those of OnceRegister.
 class OnceAttempt
 {
 public:
     enum class Phase : uint8_t {
-        Unkeyed, ///< No key: the attempt is the request, this entry alone can run it.
-        Asking, ///< acquire is on its way.
-        Granted, ///< May dispatch.
-        Dispatched, ///< A byte may have left.
-        Refusing, ///< refuse is on its way; will never dispatch.
-        Refused, ///< "Not run" may be told.
+        Unkeyed, ///< No key: only this entry daemon can run the request.
+        Asking, ///< An acquire query is in flight.
+        Granted, ///< The register granted the key; the request may be dispatched.
+        Dispatched, ///< Bytes of the request may have been sent to an endpoint.
+        Refusing, ///< A refuse query is in flight; the request is never dispatched.
+        Refused, ///< The refusal is recorded; "not run" may be reported.
         Elsewhere, ///< Another request holds the key.
-        Unknown, ///< Nobody can tell; never dispatches.
-        Moved ///< Handed to another entry; never dispatches here.
+        Unknown, ///< The outcome can't be determined; the request is never dispatched.
+        Moved ///< Handed over to another daemon; never dispatched here.
     };
 
     Phase phase() const { return phase_; }
     bool waitsForRegister() const { return phase_ == Phase::Asking || phase_ == Phase::Refusing; }
     bool mayDispatch() const;
     bool mayMove() const { return phase_ != Phase::Dispatched && phase_ != Phase::Refusing; }
-    /// True if "not run" may be told at once, without asking anybody.
+    /// Returns true if "not run" may be reported without a register query.
     bool mayRefuseAtOnce() const { return phase_ == Phase::Unkeyed; }
 
     void ask() { phase_ = Phase::Asking; }
@@ -33,7 +33,7 @@
     void move() { phase_ = Phase::Moved; }
     void giveUp() { phase_ = Phase::Unknown; }
     void dispatched();
-    void provedNotRun(); ///< No byte left, or the endpoint itself said that it did not run it.
+    void provedNotRun(); ///< No byte was sent, or the endpoint reported that it did not run the request.
     void answered(OnceVerdict verdict);
 
     friend bool operator==(const OnceAttempt &, const OnceAttempt &) = default;
--- a/src/daemon/onceregister.cpp
+++ b/src/daemon/onceregister.cpp
@@ -18,12 +18,12 @@
 
 OnceAnswer acquireOnce(OnceRecord &record, const OnceQuestion &question, Incarnation asker)
 {
-    // Step 1. A refused attempt stays refused. Failure: a duplicate waits in a paused entry and asks after
-    // the caller was told "not run". The written mark is enough, since every grant passes this line.
+    // Step 1. A refused attempt stays refused. Otherwise a duplicate in a paused entry daemon could acquire
+    // the key after the caller received "not run". The record is sufficient, since every grant checks it.
     if (question.attempt <= record.refusedThrough)
         return {OnceVerdict::Refused, {}, {}};
 
-    // Step 2. First come: grant.
+    // Step 2. Grant the key to the first requester.
     if (record.state == OnceState::Absent) {
         record.state = OnceState::Granted;
         record.holder = asker;
@@ -31,8 +31,8 @@
         return {OnceVerdict::Granted, asker, question.request};
     }
 
-    // Step 3. A repeated question of the holder, or a handover by the holder. A handover named by anyone
-    // but the present holder is a late duplicate of an earlier move, and must not bring a grant back.
+    // Step 3. Grant again on a repeated query by the holder, or after a handover by the holder. A handover
+    // from any other daemon is a late duplicate of an earlier one and must not restore a grant.
     const bool same = record.state == OnceState::Granted && record.request == question.request;
     if (same && record.holder == asker)
         return {OnceVerdict::Granted, asker, question.request};
@@ -73,8 +73,8 @@
     return heldElsewhere(record);
 }
 
-// A session that is forgotten to make room is never served again: its number is not given out twice, so
-// its keys are "unknown" for good and can't be granted a second time.
+// At MaxSessions, evicts a session to free capacity. Session numbers are not reused, so the keys of an
+// evicted session stay "unknown" and can't be granted a second time.
 uint64_t OnceRegister::openSession()
 {
     const uint64_t number = nextSession_++;
@@ -100,9 +100,9 @@
 
 OnceAnswer OnceRegister::answer(const OnceQuestion &question, Incarnation asker)
 {
-    // A register that moved answers for nothing. Failure: it is paused while its successor already grants,
-    // wakes and grants the same key. Being sealed before the table leaves is enough, because the seal is
-    // never lifted and asks for no clock.
+    // A sealed register grants nothing. Otherwise a daemon that was paused while its successor already grants
+    // could resume and grant the same key. Sealing before the sessions are sent is sufficient, because a
+    // seal is permanent and does not depend on a clock.
     if (isSealed() && isOn(Safeguard::SealBeforeMove))
         return {OnceVerdict::Sealed, successor_, {}};
     OnceSession *session = findSession(question.key);
@@ -123,9 +123,9 @@
     return out;
 }
 
-// Until the successor confirmed, nobody is told where to ask. Failure: the table goes to one daemon whose
-// confirmation is lost, then to another, and both are asked. Naming one only after its confirmation, and only
-// once, is enough: an unconfirmed copy is never asked.
+// The successor is not published before it has confirmed. Otherwise the sessions could be sent to one daemon
+// whose confirmation is lost, then to another, and both would be queried. Setting the successor once, after
+// its confirmation, is sufficient: an unconfirmed copy is never queried.
 void OnceRegister::moveTo(Incarnation successor)
 {
     if (!successor_)
--- a/src/daemon/onceregister.h
+++ b/src/daemon/onceregister.h
@@ -8,11 +8,11 @@
 namespace cranberry {
 
 enum class OnceVerdict : uint8_t {
-    Granted, ///< The asker may dispatch this request, once.
-    HeldElsewhere, ///< Another request holds the key; its answer is the answer.
-    Refused, ///< This attempt will never be granted: "not run" is true.
-    Unknown, ///< The register has no memory of the key and never will.
-    Sealed ///< The register has moved to `holder`; 0 while it is not yet certain where.
+    Granted, ///< The requester may dispatch this request once.
+    HeldElsewhere, ///< Another request holds the key and supplies the answer.
+    Refused, ///< This attempt is never granted, so "not run" may be reported.
+    Unknown, ///< The register has no record of the key and never grants it.
+    Sealed ///< The register has moved to `holder`, or 0 until the successor has confirmed.
 };
 
 struct OnceAnswer {
@@ -25,17 +25,17 @@
 
 enum class OnceState : uint8_t { Absent, Granted, Done };
 
-/// What the register knows of one key.
+/// The register's record of one key.
 struct OnceRecord {
     OnceState state = OnceState::Absent;
-    uint32_t refusedThrough = 0; ///< Attempts up to this one are refused for good.
+    uint32_t refusedThrough = 0; ///< Attempts up to this number are refused permanently.
     Incarnation holder;
     RequestId request;
 
     friend bool operator==(const OnceRecord &, const OnceRecord &) = default;
 };
 
-/// What is asked of a register for one key.
+/// The operations on one key of a register.
 enum class OnceAction : uint8_t { Acquire, Refuse, Finish };
 
 struct OnceQuestion {
@@ -43,13 +43,13 @@
     OnceKey key;
     uint32_t attempt = 1;
     RequestId request;
-    Incarnation movedFrom; ///< Acquire: the daemon that handed the request to the asker.
+    Incarnation movedFrom; ///< Acquire: the daemon that handed the request over to the requester.
 };
 
-/// The rule for one key, whoever keeps the record: a daemon's register or the platform's service.
+/// Applies a query to the record of one key. The daemons' registers and the platform service share this rule.
 OnceAnswer applyOnce(OnceRecord &record, const OnceQuestion &question, Incarnation asker);
 
-/// The keys of one session, by sequence number. Sequences up to `floor` are forgotten.
+/// The key records of one session by sequence number. Records up to `floor` have been evicted.
 struct OnceSession {
     Incarnation registrar;
     uint64_t number = 0;
@@ -59,8 +59,8 @@
     friend bool operator==(const OnceSession &, const OnceSession &) = default;
 };
 
-/// The write-once register behind "at most once". Exactly one daemon holds a session's keys at a time:
-/// the one that opened it, then the one it was moved to.
+/// The write-once register that ensures at-most-once execution. Exactly one daemon at a time holds the keys
+/// of a session: the daemon that opened it, then the daemon that the register was moved to.
 class OnceRegister
 {
 public:
@@ -70,9 +70,9 @@
 
     OnceAnswer answer(const OnceQuestion &question, Incarnation asker);
 
-    /// Stops granting for good and returns the whole table for the one successor.
+    /// Permanently stops granting and returns all sessions for transfer to the successor.
     std::vector<OnceSession> seal();
-    /// Names the successor, once it has confirmed the table. May be called once.
+    /// Sets the successor after it has confirmed the sessions. Only the first call has an effect.
     void moveTo(Incarnation successor);
     void adopt(const std::vector<OnceSession> &sessions);
 
@@ -91,7 +91,8 @@
     Incarnation successor_;
     bool sealed_ = false;
     uint64_t nextSession_ = 1;
-    std::map<std::pair<uint64_t, uint64_t>, OnceSession> sessions_; ///< By registrar and number.
+    std::map<std::pair<uint64_t, uint64_t>, OnceSession>
+        sessions_; ///< Keyed by registrar and session number.
 };
 
 } // namespace cranberry
--- a/src/daemon/request.cpp
+++ b/src/daemon/request.cpp
@@ -11,10 +11,10 @@
     return digestOf(spec.organisation, spec.service.value + "/" + spec.path, spec.body);
 }
 
-// Failure: the owner dies, the witness runs the request again, and a caller with half of the first text reads
-// on in the second. Symptom: a whole that no engine ever wrote. Cutting at the earliest branch after the
-// caller's lineage is enough, since runs share their text up to the branch by construction; lineages are
-// random numbers, so two daemons that both take over never share one.
+// Prevents mixed answers: the owner crashes, the witness runs the request again, and a caller that holds half
+// of the first text would resume in the second, which yields an answer that no engine generated. Cutting at
+// the earliest branch after the caller's lineage is sufficient, because generations share their text up to
+// the branch. Lineages are random numbers, so two daemons that both take over a request never share one.
 uint64_t commonOffset(const std::vector<Branch> &branches, uint64_t lineage, uint64_t offset)
 {
     if (!isOn(Safeguard::CutAtBranch))
--- a/src/daemon/request.h
+++ b/src/daemon/request.h
@@ -9,24 +9,24 @@
 namespace cranberry {
 
 enum class RequestPhase : uint8_t {
-    Asking, ///< Waits for its register, to run or to be refused.
-    Queued, ///< Waits for a slot.
-    Running, ///< An attempt is open.
+    Asking, ///< Waits for the register's reply to an acquire or a refusal.
+    Queued, ///< Waits for an endpoint with a free slot.
+    Running, ///< An attempt is in progress on an endpoint.
     Waiting, ///< Backs off before the next attempt.
-    Moving, ///< Its copy is on the way to the successor.
-    Moved, ///< Lives at the successor.
-    Ended, ///< Answer whole.
-    Given ///< Given up: refused or unknown.
+    Moving, ///< The handover to the successor is not confirmed yet.
+    Moved, ///< Another daemon owns the request, or another request holds its key.
+    Ended, ///< The answer is complete.
+    Given ///< Concluded without an answer: refused, or the outcome is unknown.
 };
 
-/// A caller's connection that waits for this request's answer.
+/// A caller's connection that receives the answer of this request.
 struct Listener {
     CallerId caller;
-    uint64_t sent = 0; ///< Bytes of the text already handed out.
+    uint64_t sent = 0; ///< Bytes of the text already sent to the caller.
     bool accepted = false;
 };
 
-/// One accepted (or still to be accepted) request at the daemon that owns it.
+/// A request at the daemon that owns it, from submission until its answer is discarded.
 struct Request {
     RequestId id;
     std::shared_ptr<const RequestSpec> spec;
@@ -36,12 +36,12 @@
 
     OnceAttempt once;
     Incarnation askedRegister;
-    Incarnation movedFrom; ///< The daemon that handed it over.
+    Incarnation movedFrom; ///< The daemon that handed the request over to this one.
     TimeMs askedAt;
     uint32_t asks = 0;
-    Refusal pendingRefusal; ///< What to tell once the register has written it.
+    Refusal pendingRefusal; ///< Sent to the callers when the register has recorded the refusal.
 
-    Incarnation witness; ///< Holder of the copy, as asked last.
+    Incarnation witness; ///< The daemon last asked to hold a copy.
     bool witnessed = false;
     uint32_t witnessAsks = 0;
     TimeMs witnessAskedAt;
@@ -50,12 +50,12 @@
     EndpointName endpoint;
     EndpointName avoid;
     uint64_t workTokens = 0;
-    RequestDigest digest; ///< The same for each try of its caller.
+    RequestDigest digest; ///< Equal for every retry by the caller.
     uint32_t tries = 0;
     TimeMs retryAt;
-    bool owesRetry = false; ///< Its next attempt is to be taken from the retry budget.
-    bool maybeRan = false; ///< Some attempt may have reached an endpoint.
-    std::optional<TimeMs> moveAt; ///< Its endpoint leaves: go on elsewhere from here.
+    bool owesRetry = false; ///< The next attempt must be paid for from the retry budget.
+    bool maybeRan = false; ///< An earlier attempt may have run on an endpoint.
+    std::optional<TimeMs> moveAt; ///< When to move off an endpoint that is leaving.
 
     std::string text;
     uint32_t generatedTokens = 0;
@@ -63,9 +63,9 @@
     AnswerEnd end;
     Refusal refusal;
     TimeMs endedAt;
-    bool delivered = false; ///< Some caller was handed the whole answer.
-    Incarnation successor; ///< With Moved.
-    RequestId heldBy; ///< With Moved: the request whose answer is this one's too.
+    bool delivered = false; ///< At least one caller has received the complete answer.
+    Incarnation successor; ///< In phase HandedOver: the daemon to read the answer from.
+    RequestId heldBy; ///< In phase HandedOver: the request that supplies the answer.
     bool witnessDropped = false;
     std::vector<Listener> listeners;
 
@@ -73,34 +73,35 @@
     uint64_t lineage() const { return branches.empty() ? 0 : branches.back().lineage; }
 };
 
-/// A caller here that reads the answer of a request owned by another daemon.
+/// A caller connected to this daemon that reads the answer of a request owned by another daemon.
 struct Follower {
     CallerId caller;
     RequestId request;
-    Incarnation asking; ///< The daemon asked now.
+    Incarnation asking; ///< The daemon that the current query was sent to.
     uint64_t offset = 0;
     uint64_t lineage = 0;
     uint64_t tag = 0;
     TimeMs askedAt;
-    TimeMs progressAt; ///< When somebody last knew the request.
+    TimeMs progressAt; ///< When a daemon that knows the request last replied.
     uint32_t misses = 0;
-    uint32_t redirects = 0; ///< Since then.
+    uint32_t redirects = 0; ///< Redirects followed since progressAt.
     bool claim = false;
-    Incarnation notAt; ///< Said that it does not know the request.
+    Incarnation notAt; ///< A daemon that replied that it does not know the request.
 };
 
-/// A copy held for another daemon's request.
+/// The copy of a request that this daemon holds as witness for the owner.
 struct WitnessRecord {
     RequestCopy copy;
     Incarnation owner;
     TimeMs receivedAt;
 };
 
-/// The same for each try of a caller, and for a request that another daemon hands over.
+/// Digest of the organisation, service, path and body. Equal for every retry by a caller, and after a
+/// handover to another daemon.
 RequestDigest digestOf(const RequestSpec &spec);
 
-/// Where a caller that holds `offset` bytes of lineage `lineage` can read on: the last byte that every run
-/// since then has in common with what it holds.
+/// Returns the offset from which a caller that holds `offset` bytes of lineage `lineage` can resume: the
+/// length of the text that all later generations share with what the caller holds.
 uint64_t commonOffset(const std::vector<Branch> &branches, uint64_t lineage, uint64_t offset);
 
 } // namespace cranberry
--- a/src/daemon/routing.cpp
+++ b/src/daemon/routing.cpp
@@ -61,8 +61,8 @@
     return std::nullopt;
 }
 
-// Endpoints that stay keep their state, so that a change of configuration elsewhere does not forget what is
-// running. Prefix knowledge goes by index and is dropped if the order of endpoints changed.
+// Endpoints that remain keep their state, so that a configuration change does not lose the attempts in
+// progress. The prefix index refers to endpoints by position and is cleared if their order changed.
 void EndpointTable::configure(const Configuration &configuration)
 {
     std::vector<EndpointState> next;
@@ -97,8 +97,8 @@
     return found == byName_.end() ? std::nullopt : std::optional<uint32_t>(found->second);
 }
 
-// Predicted milliseconds until the first token, weighed: waiting behind own outstanding work, and prefill of
-// the part of the prompt that the endpoint is not thought to hold.
+// Returns a weighted prediction of the time to first token in milliseconds: the wait behind this daemon's
+// outstanding work, plus prefill of the tokens that the endpoint is not expected to have cached.
 double EndpointTable::cost(uint32_t index, const RoutingQuestion &question) const
 {
     const EndpointState &state = endpoints_[index];
@@ -109,8 +109,8 @@
     return perToken * (question.weights.latency * waiting + question.weights.recomputedTokens * uncached);
 }
 
-// Failure that the mark guards against: the instance list lags, and the endpoint still answers while its
-// notice runs. Reading the mark at each choice is enough, since no other place starts work.
+// The mark excludes a leaving endpoint that still responds during its notice while the instance list lags
+// behind. Checking the mark at each selection is sufficient, since attempts start nowhere else.
 bool EndpointTable::isUsable(uint32_t index, const RoutingQuestion &question, const MarkTable &marks,
                              TimeMs now) const
 {
@@ -120,8 +120,8 @@
         && state.avoidUntil <= now && state.endpoint.name != question.avoid && !leaving;
 }
 
-// Two usable endpoints at random. A few tries find them when most are usable; only then, or in a small
-// service, are all looked at.
+// Returns two usable endpoints drawn at random, which takes few draws if most endpoints are usable. If
+// SampleTries draws don't find two, or in a small service, returns all usable endpoints.
 std::vector<uint32_t> EndpointTable::candidates(const RoutingQuestion &question, const MarkTable &marks,
                                                 TimeMs now, Random &random) const
 {
@@ -148,12 +148,14 @@
 std::optional<uint32_t> EndpointTable::choose(const RoutingQuestion &question, const MarkTable &marks,
                                               TimeMs now, Random &random)
 {
-    // Step 1. Candidates: of this service, with a free slot, not leaving, not paused after a failure.
+    // Step 1. Collect candidates of this service with a free slot, not leaving and not paused after a
+    // failure.
     const std::vector<uint32_t> usable = candidates(question, marks, now, random);
     if (usable.empty())
         return std::nullopt;
 
-    // Step 2. Two at random and the one that holds most of the prompt; the cheapest wins.
+    // Step 2. Compare two random candidates and the endpoint with the longest known prefix; the lowest cost
+    // wins.
     const std::optional<uint32_t> holder = prefixes_.longest(question.prefix);
     const size_t first = random.below(usable.size());
     const size_t second = (first + 1 + random.below(usable.size() - 1)) % usable.size();
--- a/src/daemon/routing.h
+++ b/src/daemon/routing.h
@@ -9,30 +9,30 @@
 
 namespace cranberry {
 
-/// What this daemon knows of one endpoint.
+/// This daemon's local state of one endpoint.
 struct EndpointState {
     Endpoint endpoint;
     ServiceName service;
-    uint32_t running = 0; ///< Own attempts in progress.
-    uint64_t outstandingTokens = 0; ///< Their predicted work.
-    TimeMs avoidUntil; ///< After a failure: a pause that grows with each further one.
+    uint32_t running = 0; ///< Attempts of this daemon in progress.
+    uint64_t outstandingTokens = 0; ///< Predicted tokens of the attempts in progress.
+    TimeMs avoidUntil; ///< Not chosen before this time; the pause doubles with each consecutive failure.
     uint32_t failures = 0;
 };
 
-/// Remembers which endpoint last computed a prompt prefix. A fixed array without chains: a collision
-/// overwrites, and a wrong or stale entry costs recomputed tokens only.
+/// Records which endpoint last computed a prompt prefix. A hash table of fixed size without chaining: a
+/// collision overwrites the entry, and a wrong or stale entry only costs recomputed tokens.
 class PrefixIndex
 {
 public:
     PrefixIndex() : slots_(SlotCount) { }
 
-    /// Hashes of the prompt's prefixes at each block's end, shortest first.
+    /// Returns the hash of the prompt's prefix at the end of each complete block, shortest first.
     static std::vector<uint64_t> blockHashes(const std::string &prompt);
 
     void store(const std::vector<uint64_t> &hashes, uint32_t endpoint);
-    /// How many leading blocks `endpoint` is thought to hold.
+    /// Returns how many leading blocks `endpoint` is expected to have cached.
     size_t overlap(const std::vector<uint64_t> &hashes, uint32_t endpoint) const;
-    /// The endpoint with the longest known prefix, or nothing.
+    /// Returns the endpoint with the longest known prefix, or nullopt if no prefix is known.
     std::optional<uint32_t> longest(const std::vector<uint64_t> &hashes) const;
 
     static constexpr size_t BlockBytes = 256;
@@ -51,16 +51,16 @@
     const RoutingWeights &weights;
     std::vector<uint64_t> prefix; ///< PrefixIndex::blockHashes of the prompt.
     uint64_t workTokens = 0;
-    EndpointName avoid; ///< The endpoint that just failed.
+    EndpointName avoid; ///< The endpoint of the last failed attempt; not chosen.
 };
 
-/// The endpoints of the configuration in force, and the choice among them.
+/// The endpoints of the active configuration, and endpoint selection.
 class EndpointTable
 {
 public:
     void configure(const Configuration &configuration);
 
-    /// The endpoint to send to, or nothing if none has a free slot.
+    /// Selects the endpoint for a request. Returns nullopt if no usable endpoint has a free slot.
     std::optional<uint32_t> choose(const RoutingQuestion &question, const MarkTable &marks, TimeMs now,
                                    Random &random);
 
@@ -71,18 +71,19 @@
     void succeeded(const EndpointName &name);
     void failed(const EndpointName &name, TimeMs now);
 
-    /// Slots of the service on endpoints that may take work.
+    /// Returns the total slots of the service, free or not, on endpoints that are not leaving.
     uint32_t usableSlots(const ServiceName &service, const MarkTable &marks) const;
     uint32_t running(const ServiceName &service) const;
     const std::vector<EndpointState> &all() const { return endpoints_; }
 
 private:
-    /// What is kept for each service, so that no decision walks through all endpoints.
+    /// Per-service index, so that endpoint selection does not iterate over the endpoints of all services.
     struct ServiceIndex {
         std::vector<uint32_t> endpoints;
         uint32_t running = 0;
         mutable uint32_t usableSlots = 0;
-        mutable size_t marksSeen = ~size_t{0}; ///< Marks only grow: their count tells whether any is new.
+        mutable size_t marksSeen = ~size_t{0}; ///< Mark count when usableSlots was computed. Marks are never
+                                               ///< removed, so an equal count means no change.
     };
 
     bool isUsable(uint32_t index, const RoutingQuestion &question, const MarkTable &marks, TimeMs now) const;
@@ -96,7 +97,7 @@
     PrefixIndex prefixes_;
 };
 
-/// Tokens of a text, as predicted without a tokenizer: four bytes each.
+/// Predicts the token count of a text without a tokenizer, at four bytes per token.
 uint64_t predictedTokens(const std::string &text);
 
 } // namespace cranberry
--- a/src/daemon/submit.cpp
+++ b/src/daemon/submit.cpp
@@ -32,7 +32,7 @@
     });
 }
 
-// Predicted wait behind what this daemon has queued and running for the service.
+// Predicts the queueing delay from the requests queued at this daemon and those it runs for the service.
 DurationMs predictedWait(const World &world, const ServiceName &service, uint32_t slots)
 {
     const uint32_t running = world.endpoints.running(service);
@@ -78,7 +78,7 @@
     return XXH3_64bits_withSeed(organisation.value.data(), organisation.value.size(), member.value);
 }
 
-// The service's declared trait decides where the caller left no mark.
+// A request is idempotent only if its caller marked it so and the service is declared idempotent.
 bool treatAsIdempotent(const World &world, const RequestSpec &spec)
 {
     const Service *service = world.configuration ? world.configuration->findService(spec.service) : nullptr;
@@ -87,8 +87,8 @@
 
 } // namespace
 
-// A daemon that starts in an outage of the service serves once peers of two failure domains, or all there
-// are, have told their revisions and it holds the highest of them.
+// A daemon that starts while the platform service is unreachable becomes ready when it knows live peers of
+// enough other failure domains and holds the highest configuration revision that they report.
 bool isReady(const World &world)
 {
     if (!world.configuration)
@@ -102,16 +102,16 @@
     return holdsHighest && world.members.otherDomains() >= 2;
 }
 
-// Rendezvous hashing gives an organisation the same few entries from whichever daemon it asks; entries that
-// leave are stepped over, and each further entry is taken from a failure domain not used yet if there is one.
+// Rendezvous hashing makes every daemon return the same few entry daemons for an organisation. Leaving
+// daemons are skipped. Each further entry comes from an unused failure domain if one is left.
 std::vector<Address> entriesFor(const World &world, const OrganisationName &organisation)
 {
     std::vector<std::pair<uint64_t, const MemberInfo *>> ranked;
     if (!world.drain.active)
         ranked.emplace_back(rendezvous(world.self(), organisation), &world.members.self());
     for (const Member *member : world.members.alive()) {
-        // A failure domain goes at once: two of its daemons that don't yet know of each other's notice would
-        // send a caller to and fro.
+        // A failure domain is drained as a whole: two of its daemons that don't know yet of each other's
+        // drain would redirect a caller back and forth.
         if (world.drain.active && member->info.failureDomain == world.members.self().failureDomain)
             continue;
         if (!world.marks.isLeaving(member->info.incarnation) && !world.marks.isLeaving(member->info.instance))
@@ -154,14 +154,14 @@
 {
     world.counters.add(Counter::Submitted);
 
-    // Step 1. A leaving daemon takes nothing on, and says nothing about the work: it points elsewhere.
+    // Step 1. A draining daemon accepts no requests. It redirects the caller without stating an outcome.
     if (world.drain.active) {
         world.counters.add(Counter::SentElsewhere);
         world.out.push_back(CallerElsewhere{event.caller, entriesFor(world, event.spec.organisation)});
         return;
     }
 
-    // Step 2. Give it a name and look whether there is room.
+    // Step 2. Predict the work, compute the digest and check admission.
     const uint64_t work = predictedTokens(event.spec.prompt)
         + (event.spec.maxTokens ? event.spec.maxTokens : DefaultMaxTokens);
     const RequestDigest digest = digestOf(event.spec);
@@ -183,11 +183,11 @@
     request.listeners.push_back({event.caller, 0, false});
     Request &stored = world.requests.try_emplace(request.id, std::move(request)).first->second;
 
-    // Step 3. Refused keyed work goes through its register, since it may be running elsewhere.
+    // Step 3. The register records the refusal of a keyed request, since its key may be running elsewhere.
     if (!admission.admitted)
         return giveUp(world, stored, admission.refusal);
 
-    // Step 4. Copy to the witness, and on to the register or the queue; neither waits for the other.
+    // Step 4. Copy the request to the witness and, in parallel, query the register or enqueue the request.
     const RequestId id = stored.id;
     askWitness(world, stored);
     if (stored.spec->key.isSet()) {
@@ -204,8 +204,9 @@
         acceptIfSafe(world, found->second);
 }
 
-// Failure: the entry dies right after it told the caller "accepted". Symptom: nobody knows the request. The
-// copy at a daemon of another failure domain is enough against one death or one lost domain.
+// Accepts only when the witness holds a copy. Otherwise a request is lost if the entry daemon crashes right
+// after it accepted it. A copy at a daemon of another failure domain is sufficient against one crash or the
+// loss of one domain.
 void acceptIfSafe(World &world, Request &request)
 {
     if (!request.witnessed && request.isOpen() && isOn(Safeguard::WitnessBeforeAccept))
@@ -247,8 +248,9 @@
 
 void giveUp(World &world, Request &request, const Refusal &refusal)
 {
-    // "Not run" for a key is the register's word. Failure: the caller is told "not run" while a duplicate
-    // waits in a paused entry, and runs later. Writing the refusal first is enough: each grant reads it.
+    // Only the register can state "not run" for a key. Otherwise the caller could receive "not run" while a
+    // duplicate waits in a paused entry daemon and runs later. Recording the refusal first is sufficient,
+    // because every grant checks it.
     cancelAttempt(world, request);
     const bool needsRegister = refusal.outcome == Outcome::NotRun && !request.once.mayRefuseAtOnce();
     if (!needsRegister || !isOn(Safeguard::RefusalIsWritten))
@@ -292,8 +294,8 @@
     acceptIfSafe(world, request);
 }
 
-// A caller that goes away does not end its request: it may come back and read on. What nobody asks for is
-// dropped with its deadline.
+// A caller that disconnects does not cancel its request, since it may reconnect and resume. A request that no
+// caller resumes is given up at its deadline.
 void onCallerGone(World &world, const CallerGone &event)
 {
     world.followers.erase(event.caller);
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -25,7 +25,7 @@
     return text.replace(text.find(what), what.size(), with);
 }
 
-// The error's text, or "ok".
+// Returns the text of the parse error, or "ok".
 template <typename Parse>
 std::string outcomeOf(const Parse &parse)
 {
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration that is wrong names the field")
+TEST_CASE("parse errors of a configuration name the field")
 {
     CHECK(configurationOutcome(GoodText) == "ok");
     CHECK(configurationOutcome(replaced("\"slots\":2", "\"slot\":2"))
@@ -70,7 +70,7 @@
     CHECK(configurationOutcome("[]") == "must be an object");
 }
 
-TEST_CASE("settings that are wrong name the field")
+TEST_CASE("parse errors of the settings name the field")
 {
     const std::string good
         = R"({"instance":"i","failureDomain":"leioa","callerAddress":"127.0.0.1:1","adminAddress":
@@ -85,7 +85,7 @@
     CHECK(outcome(bad.replace(bad.find("\"peers\""), 7, "\"pears\"")) == "pears: is not a known field");
 }
 
-TEST_CASE("a diff names each field that changed")
+TEST_CASE("a configuration diff lists each changed field")
 {
     const std::vector<std::string> lines
         = diffConfigurations(GoodText, replaced("\"slots\":2", "\"slots\":3"));
@@ -94,7 +94,7 @@
     CHECK(diffConfigurations(GoodText, GoodText).empty());
 }
 
-TEST_CASE("ids and addresses are read back as they were written")
+TEST_CASE("request ids and addresses round-trip through text")
 {
     const RequestId id{{0xabcdef}, 77, {0x123}};
     const std::optional<RequestId> read = requestIdFromText(toText(id));
@@ -108,7 +108,7 @@
         CHECK_FALSE(addressFromText(wrong));
 }
 
-TEST_CASE("a caller reads on where every later run still agrees with what it holds")
+TEST_CASE("a caller resumes at the end of the text that all later generations share")
 {
     const std::vector<Branch> branches = {{5, 30}, {6, 10}, {7, 50}};
     CHECK(commonOffset(branches, 0, 40) == 10);
@@ -120,7 +120,7 @@
     CHECK(commonOffset({}, 0, 60) == 60);
 }
 
-TEST_CASE("marks only grow, and the order in which they come does not matter")
+TEST_CASE("marks are never removed, and the result does not depend on their order")
 {
     const std::vector<Mark> marks = {{MarkKind::EndpointLeaving, {"a"}, {}, {}},
                                      {MarkKind::DaemonLeaving, {}, {1}, {}},
@@ -137,11 +137,12 @@
     CHECK(forwards.isLeaving(InstanceName{"a"}));
     CHECK_FALSE(forwards.isLeaving(InstanceName{"b"}));
     CHECK_FALSE(forwards.add(marks.front(), TimeMs{0}));
-    CHECK_FALSE(forwards.add({MarkKind::DaemonMoved, {}, {1}, {9}}, TimeMs{0})); // Written once.
+    CHECK_FALSE(forwards.add({MarkKind::DaemonMoved, {}, {1}, {9}},
+                             TimeMs{0})); // The successor of a daemon is set only once.
     CHECK(forwards.resolve({1}) == Incarnation{3});
 }
 
-TEST_CASE("an organisation's bucket says exactly when to come back")
+TEST_CASE("a refused organisation is admitted after exactly the returned wait")
 {
     OrganisationLimits limits;
     const Organisation organisation{{"o"}, 1000};
@@ -151,10 +152,11 @@
     CHECK(wait->count == 500);
     CHECK(limits.take(organisation, 500, 1, TimeMs{wait->count - 1}));
     CHECK_FALSE(limits.take(organisation, 500, 1, TimeMs{wait->count}));
-    CHECK_FALSE(limits.take({{"p"}, 1000}, 1'000'000, 1, TimeMs{0})); // Larger than any burst, and alone.
+    CHECK_FALSE(
+        limits.take({{"p"}, 1000}, 1'000'000, 1, TimeMs{0})); // Larger than the burst, with a full bucket.
 }
 
-TEST_CASE("the retry budget is a share of the successes")
+TEST_CASE("the retry budget is a fraction of the successes")
 {
     RetryBudget budget;
     int taken = 0;
@@ -170,7 +172,7 @@
     CHECK(taken <= 10);
 }
 
-TEST_CASE("a prompt goes where its prefix is held, unless that endpoint is far behind")
+TEST_CASE("selection prefers the endpoint that has cached the prefix unless its backlog is long")
 {
     std::string text
         = R"({"failureDomains":["d"],"organisations":[{"name":"o"}],"services":[{"name":"s","kind":"model",
@@ -202,10 +204,10 @@
         CHECK(*table.choose(question, marks, TimeMs{0}, random) != 3);
 }
 
-// The other daemon does not answer a probe: it is suspected, given up after a while, and taken back when it
-// answers the suspicion with a higher version. What others still say of it in the meantime is no sign of
-// life.
-TEST_CASE("a member that does not answer is given up, and counted when that was wrong")
+// A member that does not reply to a probe is suspected, then declared gone after the suspicion timeout. It
+// counts as alive again when it refutes the suspicion with a higher version. Gossip that repeats its old
+// version must not restore it.
+TEST_CASE("an unresponsive member is declared gone, and a refutation counts a false suspicion")
 {
     Membership members({{1}, {"a"}, {"d1"}, {}, {"h", 1}, 1, {0}}, {});
     Counters counters;
@@ -230,7 +232,7 @@
     CHECK(members.domainsWithRevision({4}) == 0);
 }
 
-TEST_CASE("a daemon that is suspected outbids the suspicion")
+TEST_CASE("a suspected daemon refutes the suspicion with a higher version")
 {
     Membership members({{1}, {"a"}, {"d1"}, {}, {"h", 1}, 4, {0}}, {});
     members.suspect({{1}, 3}, TimeMs{1000});
