--- a/src/daemon/request.h
+++ b/src/daemon/request.h
@@ -37,12 +37,12 @@
     OnceAttempt once;
     Incarnation askedRegister;
     Incarnation movedFrom; ///< The daemon that handed the request over to this one.
-    TimeMs askedAt;
+    TimeMs askedAt; ///< When the last register query, handover or attempt was sent.
     uint32_t asks = 0;
     Refusal pendingRefusal; ///< Sent to the callers when the register has recorded the refusal.
 
     Incarnation witness; ///< The daemon last asked to hold a copy.
-    bool witnessed = false;
+    bool witnessed = false; ///< The witness confirmed its copy, or no other daemon is alive.
     uint32_t witnessAsks = 0;
     TimeMs witnessAskedAt;
 
@@ -64,8 +64,8 @@
     Refusal refusal;
     TimeMs endedAt;
     bool delivered = false; ///< At least one caller has received the complete answer.
-    Incarnation successor; ///< In phase HandedOver: the daemon to read the answer from.
-    RequestId heldBy; ///< In phase HandedOver: the request that supplies the answer.
+    Incarnation successor; ///< In phase Moved: the daemon to read the answer from.
+    RequestId heldBy; ///< In phase Moved: the request that supplies the answer.
     bool witnessDropped = false;
     std::vector<Listener> listeners;
 
--- a/src/daemon/submit.cpp
+++ b/src/daemon/submit.cpp
@@ -88,7 +88,7 @@
 } // namespace
 
 // A daemon that starts while the platform service is unreachable becomes ready when it knows live peers of
-// enough other failure domains and holds the highest configuration revision that they report.
+// two other failure domains and holds the highest configuration revision that they report.
 bool isReady(const World &world)
 {
     if (!world.configuration)
