--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// A message for an earlier life of this daemon is answered with NotHere and goes no further: the register and
-// the grants of that life are gone, and acting for it would break at-most-once.
+// A message for an earlier incarnation of this daemon is answered with NotHere and dropped: the register and
+// the grants of that incarnation are lost, and acting on its behalf would violate at-most-once.
 void onPeer(World &world, const PeerInbound &event)
 {
     if (event.to && event.to != world.self()) {
@@ -38,7 +38,8 @@
     std::visit(Handler{world, event.from}, event.message);
 }
 
-constexpr DurationMs PauseNoticed{1000}; ///< Ticks come each 20 ms.
+constexpr DurationMs PauseNoticed{
+    1000}; ///< A longer gap between steps counts as a process pause; ticks come every 20 ms.
 constexpr DurationMs RefreshTime{300};
 
 void onTick(World &world)
@@ -86,9 +87,9 @@
 
 std::vector<Action> Daemon::step(TimeMs now, const Event &event)
 {
-    // Failure: this process was frozen, wakes, and hands its queue to endpoints that were told to leave
-    // meanwhile. It sees its own pause as a gap between steps, asks around at once, and starts nothing until
-    // answers can be there.
+    // After a process pause, the daemon does not know yet which endpoints received a notice to leave
+    // meanwhile, and would dispatch its queue to them. It detects the pause as a gap between steps, probes
+    // its peers at once, and starts no attempt until their replies can have arrived.
     if (world_.now.count != 0 && now - world_.now > PauseNoticed) {
         world_.holdUntil = now + RefreshTime;
         world_.gossipAt = now;
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -4,13 +4,13 @@
 
 namespace cranberry {
 
-/// The core of cranberryd: one function from an event and the time to actions.
+/// The core of cranberryd: a deterministic state machine that maps an event and the time to actions.
 class Daemon
 {
 public:
     explicit Daemon(const Identity &identity) : world_(identity) { }
 
-    /// Handles one event at `now` and returns what is to be done about it.
+    /// Handles one event at `now` and returns the actions to perform.
     std::vector<Action> step(TimeMs now, const Event &event);
 
     const World &world() const { return world_; }
--- a/src/daemon/messages.h
+++ b/src/daemon/messages.h
@@ -8,15 +8,16 @@
 
 namespace cranberry {
 
-// ---- Between daemons. Each may be lost, doubled, late or out of order; the core repeats and ignores. ----
+// ---- Messages between daemons. Each may be lost, duplicated, delayed or reordered: the core resends what
+// is not acknowledged and ignores duplicates. ----
 
 enum class MarkKind : uint8_t {
-    EndpointLeaving, ///< The instance `instance` was told to leave; it takes no new work.
+    EndpointLeaving, ///< `instance` received a notice to leave and takes no new work.
     DaemonLeaving, ///< `subject` takes no new work.
-    DaemonMoved ///< `subject` moved its register to `successor`; written by `subject` alone.
+    DaemonMoved ///< `subject` transferred its register to `successor`; only `subject` writes this mark.
 };
 
-/// A fact that never becomes false again, so that merging needs no agreement.
+/// A fact that, once true, stays true, so that sets of marks merge without coordination.
 struct Mark {
     MarkKind kind = MarkKind::EndpointLeaving;
     InstanceName instance;
@@ -27,14 +28,14 @@
     friend bool operator==(const Mark &, const Mark &) = default;
 };
 
-/// A mark on its way, with what is left of the notice that came with it (0: none is known).
+/// A mark as it is sent, with the time left of its notice (0 if no notice is known).
 struct MarkNews {
     Mark mark;
     DurationMs notice;
 };
 
-/// One daemon as the others know it. Only the daemon itself raises `version`, to answer a suspicion, and the
-/// highest one wins. `revision` is exact only where it comes from the daemon itself.
+/// One daemon as its peers know it. Only the daemon itself raises `version`, to refute a suspicion; the entry
+/// with the highest version wins a merge. `revision` is exact only if it was received from the daemon itself.
 struct MemberInfo {
     Incarnation incarnation;
     InstanceName instance;
@@ -42,12 +43,13 @@
     Address callerAddress;
     Address peerAddress;
     uint64_t version = 1;
-    Revision revision; ///< Configuration in force there.
+    Revision revision; ///< Configuration in force at that daemon.
 
     friend bool operator==(const MemberInfo &, const MemberInfo &) = default;
 };
 
-/// "I asked this daemon and heard nothing." It answers by raising its version above this one.
+/// Reports that a daemon did not reply to a probe. That daemon refutes it by raising its version above this
+/// one.
 struct Suspicion {
     Incarnation incarnation;
     uint64_t version = 0;
@@ -56,19 +58,20 @@
     friend bool operator==(const Suspicion &, const Suspicion &) = default;
 };
 
-/// A probe and its answer, which carry news along.
+/// A probe or the reply to one; both carry membership updates and marks.
 struct Gossip {
     bool isReply = false;
     MemberInfo sender;
-    std::vector<MemberInfo> members; ///< News, and a few at random.
+    std::vector<MemberInfo> members; ///< Recent updates and a few random members.
     std::vector<Suspicion> suspicions;
     std::vector<MarkNews> marks;
     uint64_t markDigest = 0;
-    bool wantsMarks = false; ///< Digests differ for long: send all.
-    bool wantsMembers = false; ///< Just started: send all.
+    bool wantsMarks = false; ///< Asks for all marks, because the digests have differed for several messages.
+    bool wantsMembers = false; ///< Asks for all members, because the sender has just started.
 };
 
-/// "I have this revision": who has a newer one pushes it; who waits for confirmations counts it.
+/// Announces the sender's revision. A receiver with a newer one pushes it; a receiver that waits for
+/// confirmations counts it.
 struct ConfigurationHave {
     Revision revision;
 };
@@ -79,14 +82,15 @@
 };
 
 struct OnceReply {
-    RequestId request; ///< Whose question this answers.
+    RequestId request; ///< The request on whose behalf the register was queried.
     OnceAction action = OnceAction::Acquire;
     OnceAnswer answer;
 };
 
 enum class CopyPurpose : uint8_t { Witness, Handover };
 
-/// A later run of a request left the earlier text at `offset`. The first run has lineage 0.
+/// The point where a later generation of a request diverges from the earlier text. The first generation has
+/// lineage 0.
 struct Branch {
     uint64_t lineage = 0;
     uint64_t offset = 0;
@@ -94,16 +98,16 @@
     friend bool operator==(const Branch &, const Branch &) = default;
 };
 
-/// A whole request, to be kept as witness or to be taken over with what is generated so far.
+/// A complete request, either to be stored by a witness or to be taken over with the text generated so far.
 struct RequestCopy {
     CopyPurpose purpose = CopyPurpose::Witness;
     RequestId request;
-    Incarnation owner; ///< Witness copies that a leaving witness passes on; 0: the sender owns the request.
-    RequestSpec spec; ///< Its deadline counts from the moment of sending.
+    Incarnation owner; ///< Set in copies that a leaving witness forwards; 0: the sender owns the request.
+    RequestSpec spec; ///< Its deadline is relative to the time of sending.
     std::string text;
     uint32_t generatedTokens = 0; ///< Tokens in `text`.
     std::vector<Branch> branches;
-    bool ended = false; ///< Handover of a whole answer that no caller has taken yet.
+    bool ended = false; ///< Handover of a complete answer that was not yet delivered to a caller.
     AnswerEnd end;
 };
 
@@ -116,14 +120,15 @@
     RequestId request;
 };
 
-/// Reads on in an answer. With `claim`, the witness runs the request itself if it knows no living owner.
+/// Reads the next part of an answer. With `claim`, the witness takes the request over if it knows no live
+/// owner.
 struct Fetch {
     uint64_t tag = 0;
     RequestId request;
     uint64_t offset = 0;
     uint64_t lineage = 0;
     bool claim = false;
-    Incarnation notAt; ///< With `claim`: a daemon that said it does not know the request.
+    Incarnation notAt; ///< With `claim`: a daemon that replied NotFound for the request.
 };
 
 enum class FetchState : uint8_t { Open, Ended, Refused, OwnedBy, NotFound };
@@ -131,13 +136,13 @@
 struct FetchReply {
     uint64_t tag = 0;
     FetchState state = FetchState::NotFound;
-    uint64_t offset = 0; ///< Where `text` starts; at most the offset asked for.
+    uint64_t offset = 0; ///< Where `text` starts; not above the requested offset.
     uint64_t lineage = 0;
     std::string text;
     AnswerEnd end;
     Refusal refusal;
     Incarnation owner; ///< With OwnedBy.
-    RequestId request; ///< With OwnedBy: the request to read on in; another one if the key was held by it.
+    RequestId request; ///< With OwnedBy: the request to read from; another request if that one holds the key.
 };
 
 struct RegisterTransfer {
@@ -147,7 +152,7 @@
 struct RegisterTransferAck {
 };
 
-/// "You wrote to a life of this daemon that is over."
+/// Reply to a message that was addressed to an earlier incarnation of this daemon.
 struct NotHere {
     Incarnation gone;
 };
@@ -156,7 +161,7 @@
     = std::variant<Gossip, ConfigurationHave, ConfigurationPush, OnceQuestion, OnceReply, RequestCopy,
                    CopyAck, WitnessDrop, Fetch, FetchReply, RegisterTransfer, RegisterTransferAck, NotHere>;
 
-// ---- Into the core ----
+// ---- Events handled by the core ----
 
 struct Tick {
 };
@@ -177,7 +182,7 @@
     CallerId caller;
 };
 
-struct CallerEntries { ///< "Which entries shall I use?"
+struct CallerEntries { ///< Asks for the list of entries that the caller may use.
     CallerId caller;
     OrganisationName organisation;
     bool wantsSession = false;
@@ -194,16 +199,16 @@
     int status = 200;
     std::string contentType;
     std::string finishReason;
-    uint32_t cachedTokens = 0; ///< Prompt tokens the engine had in its prefix cache.
+    uint32_t cachedTokens = 0; ///< Prompt tokens found in the engine's prefix cache.
 };
 
-/// How far an attempt had got when it failed: decides what may be repeated.
+/// How far an attempt had got when it failed. Decides whether it may be retried.
 enum class FailurePhase : uint8_t {
-    NotSent, ///< No byte left this process.
-    SaidNotRun, ///< The endpoint answered that it did not run it.
-    AfterSend, ///< Anything else.
-    Silent, ///< Nothing came for the service's progress timeout.
-    Ended ///< After it was sent, and then nobody listened there any more: the process ended.
+    NotSent, ///< No byte was sent.
+    SaidNotRun, ///< The endpoint replied that it did not execute the request.
+    AfterSend, ///< Failed after bytes were sent, in any way not listed here.
+    Silent, ///< No data arrived within the service's progress timeout.
+    Ended ///< Failed after sending, and the port refused connections afterwards: the process exited.
 };
 
 struct EndpointFailed {
@@ -213,42 +218,43 @@
 
 struct PeerInbound {
     Incarnation from;
-    Incarnation to; ///< The life it was sent to; 0: whoever lives here.
+    Incarnation to; ///< The incarnation it was sent to; 0: whichever runs at this address.
     PeerMessage message;
 };
 
-/// A configuration read from the platform's service, already checked.
+/// A validated configuration that was read from the platform's service.
 struct ConfigurationSeen {
     Revision revision;
     std::string text;
 };
 
 struct PlatformSilent {
-}; ///< The service could not be read.
+}; ///< The platform's service could not be read.
 
-struct LeavingSeen { ///< The cloud says that this instance is to leave after `notice`.
+struct LeavingSeen { ///< The cloud announced that the instance leaves after `notice`.
     InstanceName instance;
     DurationMs notice;
 };
 
 struct DrainRequested {
-    std::optional<DurationMs> notice; ///< Absent: planned, as long as the open requests take.
+    std::optional<DurationMs>
+        notice; ///< Absent for a planned drain, which lasts until the open requests are done.
 };
 
-/// The platform's answer about a bare key.
+/// The platform's reply to a query about a bare key.
 struct PlatformOnceReply {
     OnceReply reply;
-    bool known = false; ///< False: the service was silent or its answer was lost for good.
+    bool known = false; ///< False if the service did not reply or its reply was lost.
 };
 
 using Event = std::variant<Tick, CallerSubmit, CallerResume, CallerGone, CallerEntries, EndpointData,
                            EndpointEnd, EndpointFailed, PeerInbound, ConfigurationSeen, PlatformSilent,
                            LeavingSeen, DrainRequested, PlatformOnceReply>;
 
-// ---- Out of the core ----
+// ---- Actions returned by the core ----
 
 struct SendPeer {
-    Incarnation to; ///< 0: whoever lives at `address`.
+    Incarnation to; ///< 0: whichever incarnation runs at `address`.
     Address address;
     PeerMessage message;
 };
@@ -259,7 +265,7 @@
     Address address;
     ServiceKind kind = ServiceKind::Model;
     std::shared_ptr<const RequestSpec> spec;
-    std::string prefix; ///< Generated so far: the engine goes on from here.
+    std::string prefix; ///< Text generated so far, which the engine continues.
     uint32_t prefixTokens = 0;
     DurationMs progressTimeout;
 };
@@ -275,7 +281,8 @@
 
 struct CallerData {
     CallerId caller;
-    uint64_t offset = 0; ///< Less than what the caller has: it cuts its copy here first.
+    uint64_t offset
+        = 0; ///< If below the caller's length, the caller truncates its copy to this offset first.
     uint64_t lineage = 0;
     std::string text;
 };
@@ -290,13 +297,13 @@
     Refusal refusal;
 };
 
-struct CallerMoved { ///< The request goes on at another entry.
+struct CallerMoved { ///< The request continues at another entry.
     CallerId caller;
     RequestId request;
     Address address;
 };
 
-struct CallerElsewhere { ///< This entry takes no new work; nothing is said about the work itself.
+struct CallerElsewhere { ///< This entry takes no new work; it makes no statement about the request itself.
     CallerId caller;
     std::vector<Address> entries;
 };
@@ -305,10 +312,10 @@
     CallerId caller;
     std::vector<Address> entries;
     DurationMs keep;
-    OnceKey session; ///< Registrar and session number; registrar 0 if none was asked for.
+    OnceKey session; ///< Registrar and session number; registrar 0 if no session was requested.
 };
 
-struct AskPlatform { ///< A question about a bare key; its record is kept by the platform's service.
+struct AskPlatform { ///< A query about a bare key, whose record the platform's service stores.
     OnceQuestion question;
 };
 
@@ -317,7 +324,7 @@
 };
 
 struct Stopped {
-}; ///< Drained: the process may end.
+}; ///< The drain is complete: the process may exit.
 
 using Action = std::variant<SendPeer, StartAttempt, CancelAttempt, CallerAccepted, CallerData, CallerEnd,
                             CallerRefused, CallerMoved, CallerElsewhere, EntriesAnswer, AskPlatform,
--- a/src/daemon/world.h
+++ b/src/daemon/world.h
@@ -16,7 +16,7 @@
 
 namespace cranberry {
 
-/// How a daemon is brought up; all that the core needs of its settings.
+/// The settings that the core of a daemon needs at its start.
 struct Identity {
     MemberInfo member;
     std::vector<Address> seeds;
@@ -28,10 +28,10 @@
 
 constexpr DurationMs TickInterval{20};
 
-/// A running drain of this daemon.
+/// State of this daemon's own drain.
 struct Drain {
     bool active = false;
-    TimeMs handoverAt; ///< From here on open requests move to the successor.
+    TimeMs handoverAt; ///< From this time on, open requests are handed over to the successor.
     TimeMs endsAt;
     Incarnation successor;
     TimeMs successorChosenAt;
@@ -42,8 +42,8 @@
     bool stopped = false;
 };
 
-/// All state of one daemon. Systems (the functions in the files named below) run over it; nothing here
-/// opens a socket, reads a clock or starts a thread.
+/// The complete state of one daemon. The functions below operate on it; none of them opens a socket, reads a
+/// clock or starts a thread.
 struct World {
     explicit World(const Identity &identity)
         : entryKeep(identity.entryKeep), answerKeep(identity.answerKeep), drainLimit(identity.drainLimit),
@@ -61,10 +61,11 @@
 
     Membership members;
     MarkTable marks;
-    TimeMs holdUntil; ///< No new attempts before this: the process was paused.
-    TimeMs gossipAt; ///< Next round.
+    TimeMs holdUntil; ///< No attempt starts before this time, because the process was paused.
+    TimeMs gossipAt; ///< Time of the next gossip round.
     uint64_t gossipRounds = 0;
-    uint64_t marksUnequal = 0; ///< Rounds in which a peer's marks differed.
+    uint64_t marksUnequal
+        = 0; ///< Consecutive messages whose digest of the marks differed from this daemon's.
 
     ConfigurationPtr configuration;
     std::string configurationText;
@@ -80,11 +81,11 @@
     std::unordered_map<RequestId, WitnessRecord> witnessed;
     std::map<CallerId, Follower> followers;
     std::map<AttemptId, RequestId> attempts;
-    std::deque<RequestId> queue; ///< Requests that wait for a slot, oldest first.
+    std::deque<RequestId> queue; ///< Requests that wait for a free slot, oldest first.
     uint64_t nextRequest = 1;
     uint64_t nextAttempt = 1;
     uint64_t nextTag = 1;
-    double serviceMs = 100; ///< Moving mean of an attempt's duration.
+    double serviceMs = 100; ///< Moving average of the attempts' durations.
 
     Drain drain;
     Counters counters;
@@ -93,7 +94,7 @@
 
 void sendTo(World &world, Incarnation to, PeerMessage message);
 
-// submit.cpp: callers' requests in, answers and refusals out.
+// submit.cpp: accepts callers' requests and sends answers and refusals back.
 void onCallerSubmit(World &world, const CallerSubmit &event);
 void onCallerResume(World &world, const CallerResume &event);
 void onCallerGone(World &world, const CallerGone &event);
@@ -101,14 +102,15 @@
 bool isReady(const World &world);
 std::vector<Address> entriesFor(const World &world, const OrganisationName &organisation);
 void refuseCaller(World &world, CallerId caller, const Refusal &refusal);
-/// Ends the request without an answer; asks its register first where "not run" needs that.
+/// Ends the request without an answer. Keyed work is first refused at its register where reporting "not run"
+/// requires it.
 void giveUp(World &world, Request &request, const Refusal &refusal);
-/// The final word, told to all listeners at once.
+/// Ends the request and sends the refusal to all its listeners.
 void conclude(World &world, Request &request, const Refusal &refusal);
 void deliver(World &world, Request &request);
 void acceptIfSafe(World &world, Request &request);
 
-// dispatch.cpp: the choice of endpoints, attempts and their ends.
+// dispatch.cpp: selects endpoints, starts attempts and handles their results.
 void runQueue(World &world);
 void enqueue(World &world, Request &request);
 void onEndpointData(World &world, const EndpointData &event);
@@ -118,7 +120,7 @@
 void tickRequests(World &world);
 void moveOffEndpoint(World &world, const InstanceName &instance, DurationMs notice);
 
-// once.cpp: the entry's side of at-most-once.
+// once.cpp: the at-most-once protocol as the entry runs it.
 void askRegister(World &world, Request &request);
 void onOnceQuestion(World &world, Incarnation from, const OnceQuestion &question);
 void onOnceReply(World &world, const OnceReply &reply);
@@ -126,7 +128,7 @@
 void noteFinished(World &world, const Request &request);
 void tickOnce(World &world, Request &request);
 
-// witness.cpp: copies of accepted requests, and reading an answer that another daemon owns.
+// witness.cpp: copies of accepted requests, and reading the answer of a request that another daemon owns.
 void askWitness(World &world, Request &request);
 void sendHandover(World &world, Request &request, Incarnation to);
 void onRequestCopy(World &world, Incarnation from, const RequestCopy &copy);
@@ -138,24 +140,24 @@
 void onNotHere(World &world, const NotHere &notice);
 void tickWitness(World &world);
 
-// drain.cpp: planned stops and reclaims of this daemon.
+// drain.cpp: planned stops of this daemon and reclaims of its instance.
 void startDrain(World &world, std::optional<DurationMs> notice);
 void tickDrain(World &world);
 void onRegisterTransfer(World &world, Incarnation from, const RegisterTransfer &transfer);
 void onRegisterTransferAck(World &world, Incarnation from);
 
-// gossip.cpp: members, marks and the configuration's way between daemons.
+// gossip.cpp: exchanges members, marks and the configuration between daemons.
 void tickGossip(World &world);
 void onGossip(World &world, Incarnation from, const Gossip &gossip);
 void addMark(World &world, const Mark &mark, DurationMs notice);
 void onConfiguration(World &world, Revision revision, const std::string &text);
 void onConfigurationHave(World &world, Incarnation from, const ConfigurationHave &have);
-/// A live member that does not leave, other than `except`; of another failure domain if there is one, else
-/// nullptr.
+/// Picks a random live member that is not leaving and is not `except`, preferably in another failure domain.
+/// Returns nullptr if there is none.
 const Member *pickElsewhere(World &world, Incarnation except);
-/// True if this daemon is one of the few of its failure domain that read the platform for all.
+/// True if this daemon is one of the few in its failure domain that poll the platform for all others.
 bool isWatcher(const World &world);
-/// True if daemons in enough other failure domains hold `revision`.
+/// True if this daemon and daemons in enough other failure domains hold `revision` or a later one.
 bool isConfirmed(const World &world, Revision revision);
 
 } // namespace cranberry
