--- a/src/daemon/drain.cpp
+++ b/src/daemon/drain.cpp
@@ -8,12 +8,13 @@
 namespace {
 
 constexpr int64_t PercentOfNoticeToStay = 40;
-constexpr DurationMs LastWords{300}; ///< Kept free at the end of a notice for final answers.
+constexpr DurationMs LastWords{300}; ///< Reserved at the end of a notice for sending final replies.
 constexpr DurationMs SuccessorPatience{300};
 constexpr DurationMs CopyPatience{150};
-constexpr DurationMs QuietBeforeStop{800}; ///< For the marks to spread.
+constexpr DurationMs QuietBeforeStop{800}; ///< Time for the marks to reach the other daemons.
 
-// The successor is chosen afresh while none has confirmed the register; afterwards only if it is gone.
+// Chooses another successor. Called again while none has confirmed the register, and afterwards only if the
+// successor must be replaced.
 bool chooseSuccessor(World &world)
 {
     const Member *successor = pickElsewhere(world, world.drain.successor);
@@ -36,7 +37,8 @@
     sendTo(world, drain.successor, RegisterTransfer{world.onceRegister.seal()});
 }
 
-// It leaves, it is gone, or it has not taken a single copy for a while: it may have died unnoticed.
+// True if the successor is leaving, is not alive, or has left a copy unacknowledged past the timeout: it may
+// have crashed without being suspected yet.
 bool needsAnotherSuccessor(const World &world)
 {
     const Drain &drain = world.drain;
@@ -56,8 +58,8 @@
     return request.phase < RequestPhase::Moving && (request.spec->idempotent || request.once.mayMove());
 }
 
-// Moves what this daemon can't finish. The grant of keyed work moves at its register, when the successor asks
-// there; from here on this daemon never dispatches it.
+// Hands the requests that this daemon cannot finish over to the successor. The grant of keyed work moves at
+// its register when the successor queries it; from now on this daemon never dispatches that work.
 void handOver(World &world)
 {
     for (std::pair<const RequestId, Request> &entry : world.requests) {
@@ -82,8 +84,9 @@
         world.followers.clear();
 }
 
-// The copies held for others go to the successor, where the mark "moved" leads whoever asks. Failure: an
-// owner dies without notice and its witness leaves before anybody asks for the request.
+// Forwards the witness copies to the successor, to which the DaemonMoved mark directs later fetches.
+// Otherwise a request is lost if its owner crashes and its witness leaves before a caller fetches the
+// request.
 void passOnWitnessed(World &world)
 {
     Drain &drain = world.drain;
@@ -110,7 +113,7 @@
     return open || !world.followers.empty();
 }
 
-// Tells the callers to go on at the witness, which runs the request itself once this daemon is gone.
+// Redirects the callers to the witness, which executes the request itself once this daemon is gone.
 bool leaveToWitness(World &world, Request &request)
 {
     const Member *witness = world.members.find(request.witness);
@@ -127,8 +130,9 @@
     return true;
 }
 
-// The notice is over and no successor answered. Work that may be repeated is left to its witness; for the
-// rest the callers get the honest last word now, not a broken connection.
+// Ends the requests that are still open when the notice expires and no successor acknowledged them.
+// Idempotent work is left to its witness; for the rest the callers receive outcome Unknown instead of a
+// broken connection.
 void lastWords(World &world)
 {
     std::vector<RequestId> open;
@@ -165,7 +169,7 @@
     drain.handoverAt = notice ? world.now + *notice * PercentOfNoticeToStay / 100 : endsAt;
     drain.quietSince = world.now;
     addMark(world, {MarkKind::DaemonLeaving, {}, world.self(), {}}, {});
-    world.gossipAt = world.now; // The others are told at once, not at the next round.
+    world.gossipAt = world.now; // Sends the mark at once instead of at the next round.
     moveRegister(world);
 }
 
@@ -177,7 +181,7 @@
     moveRegister(world);
     passOnWitnessed(world);
     if (drain.registerMoved && needsAnotherSuccessor(world))
-        chooseSuccessor(world); // For requests only: the register's way is written once.
+        chooseSuccessor(world); // For requests only: the DaemonMoved mark of the register is written once.
     if (world.now >= drain.handoverAt && drain.successor && isOn(Safeguard::HandoverOnReclaim))
         handOver(world);
 
@@ -193,7 +197,7 @@
 void onRegisterTransfer(World &world, Incarnation from, const RegisterTransfer &transfer)
 {
     if (world.onceRegister.isSealed())
-        return; // Can't hand on what comes after the seal: no answer, and the sender chooses another.
+        return; // Entries adopted after the seal would be lost. Without a reply, the sender chooses another.
     world.onceRegister.adopt(transfer.sessions);
     sendTo(world, from, RegisterTransferAck{});
 }
--- a/src/daemon/gossip.cpp
+++ b/src/daemon/gossip.cpp
@@ -10,11 +10,11 @@
 constexpr DurationMs GossipInterval{200};
 constexpr size_t MarksPerGossip = 32;
 constexpr uint64_t RoundsUntilFullMarks = 15;
-constexpr DurationMs MarkedEndpointNotice{1500}; ///< Assumed notice where the mark came from a peer.
+constexpr DurationMs MarkedEndpointNotice{1500}; ///< Assumed if a peer's mark carries no notice.
 constexpr size_t ConfirmingDomains = 2;
 constexpr size_t WatchersPerDomain = 2;
 constexpr size_t PushesPerChange = 3;
-constexpr uint64_t FirstRounds = 10; ///< In which the whole list of members is asked for.
+constexpr uint64_t FirstRounds = 10; ///< Rounds after the start in which the full member list is requested.
 
 Gossip makeGossip(World &world)
 {
@@ -46,7 +46,7 @@
 
 void onGossip(World &world, Incarnation from, const Gossip &gossip)
 {
-    // Step 1. The sender lives; the rest is hearsay.
+    // Step 1. The sender is known to be alive; the other entries are second-hand and only merged.
     world.members.heardFrom(gossip.sender, world.now, world.counters);
     for (const MemberInfo &info : gossip.members)
         world.members.merge(info, world.now, world.counters);
@@ -55,14 +55,14 @@
     for (const MarkNews &news : gossip.marks)
         addMark(world, news.mark, news.notice.count > 0 ? news.notice : MarkedEndpointNotice);
 
-    // Step 2. Marks travel a bounded number of times, so a daemon can miss one for good. The digests tell,
-    // and after a few rounds the whole set is asked for.
+    // Step 2. Each mark is sent a bounded number of times, so a daemon can miss one permanently. The digests
+    // reveal the difference, and after several mismatches the full set is requested.
     if (gossip.markDigest == world.marks.digest())
         world.marksUnequal = 0;
     else
         ++world.marksUnequal;
 
-    // Step 3. A probe is answered, with all that was asked for.
+    // Step 3. Replies to a probe, with the full sets if they were requested.
     if (gossip.sender.revision > world.revision)
         sendTo(world, from, ConfigurationHave{world.revision});
     if (gossip.isReply)
@@ -77,8 +77,8 @@
     sendTo(world, from, std::move(reply));
 }
 
-// A mark also tells a daemon of its own instance's notice: only a few daemons of each failure domain ask the
-// cloud.
+// A daemon may learn of its own instance's notice from a mark, because only a few daemons of each failure
+// domain poll the cloud.
 void addMark(World &world, const Mark &mark, DurationMs notice)
 {
     if (!world.marks.add(mark, world.now + notice) || mark.kind != MarkKind::EndpointLeaving)
@@ -110,9 +110,9 @@
     return world.members.isAmongLowestOfDomain(WatchersPerDomain);
 }
 
-// Failure: a daemon that was cut off comes back and spreads what it last saw; or two reads of the service
-// overtake each other. Symptom: an accepted change disappears for some. Taking only higher revisions is
-// enough, because the service numbers them in the order in which they were accepted.
+// Older revisions are ignored. Otherwise an accepted change could disappear from some daemons when a daemon
+// returns from a partition and pushes its old configuration, or when two reads of the service are reordered.
+// Comparing revisions is sufficient, because the service numbers them in the order of acceptance.
 void onConfiguration(World &world, Revision revision, const std::string &text)
 {
     if (revision == world.revision)
@@ -140,7 +140,7 @@
     world.counters.add(Counter::ConfigurationsSeen);
     world.out.push_back(ConfigurationInForce{revision});
 
-    // Told to a few at once rather than at the next round: they confirm, and pass it on themselves.
+    // Pushed to a few members at once instead of at the next round: they confirm it and push it further.
     if (!grew)
         return;
     for (const Member *member : world.members.someAlive(PushesPerChange, world.random))
@@ -156,8 +156,8 @@
         sendTo(world, from, ConfigurationHave{world.revision});
 }
 
-// The failure domains asked for are counted from the configuration and not from the members alive: a daemon
-// that is cut off knows nobody, and would otherwise confirm to itself.
+// The number of required failure domains is taken from the configuration and not from the live members:
+// otherwise a partitioned daemon, which knows no live peer, would confirm the revision by itself.
 bool isConfirmed(const World &world, Revision revision)
 {
     if (!isOn(Safeguard::ConfirmBeforeAccepted))
--- a/src/daemon/membership.cpp
+++ b/src/daemon/membership.cpp
@@ -8,15 +8,18 @@
 
 namespace {
 
-constexpr size_t Probes = 2; ///< In each round.
+constexpr size_t Probes = 2;
 constexpr size_t RandomMembers = 2;
 constexpr size_t MostNews = 12;
 constexpr DurationMs AnswerPatience{500};
-constexpr DurationMs RefutationPatience{1500}; ///< From suspicion to "gone": two ways through the fleet.
+constexpr DurationMs RefutationPatience{
+    1500}; ///< Long enough for a suspicion and its refutation to cross the fleet.
 constexpr DurationMs ForgetAfter{600000};
-constexpr uint32_t NewsSendings = 24; ///< About twice log2 of 890 daemons, doubled for losses.
+constexpr uint32_t NewsSendings
+    = 24; ///< About twice log2 of 890 daemons; the factor of two covers lost messages.
 constexpr uint64_t RoundsPerSeed = 50;
-constexpr uint64_t FirstSeedRounds = 10; ///< Groups that start together must not close before they have met.
+constexpr uint64_t FirstSeedRounds
+    = 10; ///< Prevents daemons that start together from forming groups that never meet.
 constexpr uint64_t RoundsPerSuspected = 5;
 
 uint64_t hashOf(const Mark &mark)
@@ -25,7 +28,7 @@
     return XXH3_64bits_withSeed(mark.instance.value.data(), mark.instance.value.size(), seed);
 }
 
-// `count` of them at random, or all if there are fewer.
+// Returns `count` random elements, or all if there are fewer.
 template <typename T>
 std::vector<T *> pick(std::vector<T *> from, size_t count, Random &random)
 {
@@ -79,9 +82,9 @@
     now_ = now;
 }
 
-// Failure: a daemon is frozen or cut off for a moment and everybody gives it up. It sees the suspicion with
-// the next message that reaches it, and raises its version, which outbids the suspicion wherever the two
-// meet.
+// A daemon that is paused or partitioned for a moment would otherwise be given up by all peers. It learns of
+// the suspicion from the next message that reaches it and raises its version, which overrides the suspicion
+// in every merge.
 void Membership::suspect(const Suspicion &suspicion, TimeMs now)
 {
     if (suspicion.incarnation == self_.incarnation) {
@@ -118,7 +121,7 @@
         member.probedAt = {};
         suspect({entry.first, member.info.version}, now);
     }
-    // Kept for long after they are gone, so that what others still pass on does not bring them back.
+    // Gone members are kept for a long time, so that updates still in circulation do not add them again.
     std::erase_if(members_, [now](const std::pair<const Incarnation, Member> &entry) {
         return entry.second.suspectedAt.count != 0 && now - entry.second.suspectedAt > ForgetAfter;
     });
@@ -165,9 +168,9 @@
     return pick(alive(), count, random);
 }
 
-// Suspected members are probed too, now and then: after a cut both sides have given each other up, and
-// somebody has to ask again. A seed is for the case that this daemon knows nobody, or that two groups have
-// never met.
+// Suspected members are probed too, at a lower rate: after a network partition both sides suspect each other,
+// and only a probe reconnects them. A seed is probed in case this daemon knows no live member, or two groups
+// of daemons do not know each other.
 std::vector<std::pair<Incarnation, Address>> Membership::targets(Random &random, TimeMs now)
 {
     std::vector<std::pair<Incarnation, Address>> out;
@@ -267,7 +270,7 @@
 
 bool MarkTable::add(const Mark &mark, TimeMs noticeEndsAt)
 {
-    // A "moved" mark is written once by the daemon that moved; a second one for it would be forged.
+    // The daemon that moved writes its DaemonMoved mark once, so a second one cannot be valid.
     if (mark.kind == MarkKind::DaemonMoved && !moved_.try_emplace(mark.subject, mark.successor).second)
         return false;
     if (!marks_.try_emplace(mark, State{NewsSendings, noticeEndsAt}).second)
--- a/src/daemon/membership.h
+++ b/src/daemon/membership.h
@@ -10,18 +10,20 @@
 
 struct Member {
     MemberInfo info;
-    TimeMs probedAt; ///< Oldest probe without an answer; 0: none is open.
+    TimeMs probedAt; ///< Time of the oldest unanswered probe; 0: none.
     TimeMs suspectedAt; ///< 0: not suspected.
-    bool gone = false; ///< Its address answers as another life.
-    uint32_t newsSendings = 0; ///< How often this entry is still to be passed on.
+    bool gone = false; ///< Another incarnation replied at its address.
+    uint32_t newsSendings = 0; ///< Number of messages that are still to carry this entry.
     uint32_t suspicionSendings = 0;
 };
 
-/// The daemons as this one knows them. Decides only whom to prefer, never whether work is safe.
+/// This daemon's view of its peers. It only decides which peer is preferred: no safety property depends on
+/// it.
 ///
-/// Failure detection by probes and refutable suspicions, as in SWIM: what a daemon sends does not grow with
-/// the number of daemons, and only changes are passed on. Spreading every daemon's heartbeat instead was
-/// measured: from 128 daemons on, heartbeats came later than the suspicion (docs/design/membership.md).
+/// Detects failures by probes and refutable suspicions, as in SWIM: the traffic per daemon does not grow with
+/// the number of daemons, and only changes are disseminated. Gossiping the heartbeats of all daemons was
+/// measured as the alternative: from 128 daemons on, heartbeats arrived only after their daemon was suspected
+/// (docs/design/membership.md).
 class Membership
 {
 public:
@@ -31,33 +33,35 @@
     const MemberInfo &self() const { return self_; }
     void setRevision(Revision revision) { self_.revision = revision; }
 
-    /// The sender of a message: certainly alive, and exact about its own revision.
+    /// Records the sender of a message, which is known to be alive and whose own revision is exact.
     void heardFrom(const MemberInfo &sender, TimeMs now, Counters &counters);
     void heardRevision(Incarnation from, Revision revision);
-    /// What somebody else says.
+    /// Merges an entry received from a third daemon.
     void merge(const MemberInfo &info, TimeMs now, Counters &counters);
     void suspect(const Suspicion &suspicion, TimeMs now);
     void markGone(Incarnation incarnation);
     void tick(TimeMs now);
 
     const Member *find(Incarnation incarnation) const;
-    bool isAlive(Incarnation incarnation) const; ///< Known, not gone, and not suspected for long.
-    /// Alive members without this daemon, in order of incarnation.
+    bool isAlive(Incarnation incarnation) const; ///< Known, not gone, and no suspicion has timed out.
+    /// Returns the live members without this daemon, in order of incarnation.
     std::vector<const Member *> alive() const;
     size_t aliveCount() const;
     std::vector<const Member *> someAlive(size_t count, Random &random) const;
 
-    /// Whom to probe in this round: random live members, now and then a suspected one or a seed.
+    /// Returns the probe targets of this round: random live members and, in some rounds, a suspected one or a
+    /// seed.
     std::vector<std::pair<Incarnation, Address>> targets(Random &random, TimeMs now);
-    /// Changes to pass on, and a few members at random, which repairs what was missed.
+    /// Returns the changes to disseminate and a few random members, so that a peer which missed a change
+    /// still receives it.
     std::vector<MemberInfo> news(Random &random);
     std::vector<MemberInfo> everyone() const;
     std::vector<Suspicion> suspicions();
 
-    /// How many failure domains besides this one are known to hold `revision` or a later one.
+    /// Returns the number of other failure domains known to hold `revision` or a later one.
     size_t domainsWithRevision(Revision revision) const;
     size_t otherDomains() const;
-    /// True if this daemon is one of the `count` lowest of its failure domain.
+    /// True if this daemon is among the `count` lowest live incarnations of its failure domain.
     bool isAmongLowestOfDomain(size_t count) const;
 
 private:
@@ -71,14 +75,14 @@
     uint32_t selfSendings_ = 0;
 };
 
-/// Grow-only marks with how often each is still to be passed on.
+/// A grow-only set of marks, each with the number of messages that are still to carry it.
 class MarkTable
 {
 public:
-    bool add(const Mark &mark, TimeMs noticeEndsAt); ///< True if it was new.
+    bool add(const Mark &mark, TimeMs noticeEndsAt); ///< Returns true if the mark is new.
     bool isLeaving(const InstanceName &instance) const;
     bool isLeaving(Incarnation daemon) const;
-    /// Follows "moved" marks to the daemon that answers for `incarnation` now.
+    /// Follows DaemonMoved marks to the daemon that now holds the register of `incarnation`.
     Incarnation resolve(Incarnation incarnation) const;
 
     std::vector<MarkNews> takeHot(size_t most, TimeMs now);
--- a/src/daemon/witness.cpp
+++ b/src/daemon/witness.cpp
@@ -11,12 +11,12 @@
 constexpr DurationMs FetchPatience{250};
 constexpr uint32_t MaxFetchMisses = 3;
 constexpr uint32_t MaxRedirectsAtOnce = 4;
-constexpr DurationMs FollowPatience{8000}; ///< Longer than it takes to suspect a member and to claim.
+constexpr DurationMs FollowPatience{8000}; ///< Longer than suspecting a member and claiming its request take.
 constexpr size_t FetchBytes = 256U << 10;
 constexpr DurationMs WitnessKeep{600000};
 
-// The owner itself as long as it lives: it keeps its open requests while it drains, also after its register
-// moved.
+// Returns the owner itself while it is alive, because it keeps its open requests during a drain even after
+// its register moved; otherwise the daemon that its register moved to.
 Incarnation ownerNow(const World &world, Incarnation owner)
 {
     return world.members.isAlive(owner) ? owner : world.marks.resolve(owner);
@@ -28,14 +28,14 @@
     copy.purpose = purpose;
     copy.request = request.id;
     copy.spec = *request.spec;
-    copy.spec.prompt.clear(); // It stands in the body too: half of the copy's bytes.
+    copy.spec.prompt.clear(); // The body contains it as well; a second copy would double the size.
     copy.spec.deadline = std::max(DurationMs{1}, request.deadlineAt - world.now);
     copy.branches = request.branches;
     return copy;
 }
 
-// Makes this daemon the owner. A later run leaves the earlier text where this copy ends, so it gets a lineage
-// of its own.
+// Makes this daemon the owner. The new generation may diverge from the earlier text at the end of this copy,
+// so it gets its own lineage.
 void takeOver(World &world, const RequestCopy &copy, Incarnation from)
 {
     Request request;
@@ -112,7 +112,7 @@
     return reply;
 }
 
-// The witness's decision: run it here only if the owner it knows is not alive.
+// The witness takes the request over only if the owner on record is not alive.
 FetchReply replyAsWitness(World &world, const Fetch &fetch)
 {
     FetchReply reply;
@@ -141,7 +141,8 @@
     return replyFor(world.requests.at(fetch.request), fetch);
 }
 
-// The owner does not answer: ask the witness to take over, or say honestly that nobody knows.
+// The owner does not reply: claims the request at its witness, or ends with outcome Unknown if the witness is
+// not alive either.
 void turnToWitness(World &world, CallerId caller)
 {
     Follower &follower = world.followers.at(caller);
@@ -181,7 +182,7 @@
 
 } // namespace
 
-// Without a copy elsewhere nothing is accepted, unless this daemon knows of no other that lives.
+// A request is accepted only once another daemon holds its copy, unless this daemon knows no other live one.
 void askWitness(World &world, Request &request)
 {
     const Incarnation named = world.marks.resolve(request.id.witness);
@@ -220,7 +221,7 @@
             world.witnessed.insert_or_assign(copy.request,
                                              WitnessRecord{copy, copy.owner ? copy.owner : from, world.now});
     } else if (!known) {
-        // A leaving daemon can't take anything over: no answer, and the sender chooses another.
+        // A leaving daemon takes no request over. It sends no acknowledgement, so the sender chooses another.
         if (world.drain.active)
             return;
         world.witnessed.erase(copy.request);
@@ -234,7 +235,7 @@
     auto found = world.requests.find(ack.request);
     if (found == world.requests.end()) {
         if (world.drain.active)
-            world.witnessed.erase(ack.request); // Passed on.
+            world.witnessed.erase(ack.request); // The successor has stored the forwarded copy.
         return;
     }
     Request &request = found->second;
@@ -331,7 +332,8 @@
         }
         follower.claim = false;
         follower.asking = reply.owner;
-        // Two daemons that each point to the other would send the question round at the network's speed.
+        // Bounds the redirects at once: two daemons that name each other as owner would otherwise make this
+        // daemon query them in a tight loop.
         if (++follower.redirects <= MaxRedirectsAtOnce)
             sendFetch(world, follower);
         break;
--- a/tests/onedaemon.h
+++ b/tests/onedaemon.h
@@ -8,23 +8,24 @@
 
 namespace cranberry {
 
-/// One daemon with the project's own interface, alone, with its callers and endpoints that answer or fail by
-/// order.
+/// A single daemon core without peers, with simulated callers, and endpoints that complete or fail as the
+/// test requests.
 class OneDaemon
 {
 public:
     OneDaemon();
 
     CallerId submit(const std::string &body);
-    /// Another daemon hands a request over to this one.
+    /// Delivers a handover of a request from another daemon.
     void takeOver(const std::string &body);
-    /// Lets time pass; so many attempts for `body`, at most, fail as `phase` says. The others go on.
+    /// Advances the time by `duration` and fails up to `maxFailures` attempts for `body` with `phase`. The
+    /// other attempts stay open.
     void failAttempts(const std::string &body, size_t most, DurationMs duration);
     void answerAll();
 
     std::map<CallerId, Refusal> refusals;
     std::set<CallerId> answered;
-    size_t failed = 0; ///< Attempts.
+    size_t failed = 0; ///< Number of attempts failed so far.
     FailurePhase phase = FailurePhase::Ended;
 
 private:
--- a/tests/safeguards_test.cpp
+++ b/tests/safeguards_test.cpp
@@ -12,11 +12,11 @@
 constexpr uint64_t Seed = 20261202;
 
 constexpr uint64_t MostLost
-    = 70; ///< Steps at which the copy to the witness is lost: all requests are accepted by then.
+    = 70; ///< The message is lost at a step below this one; by then all requests are accepted.
 
 enum ScenarioIndex : size_t { Streams, Once, Operators, LongStreams, Steady };
 
-/// Takes one safeguard out for as long as it lives.
+/// Disables one safeguard during its lifetime.
 class Without
 {
 public:
@@ -29,7 +29,8 @@
     Safeguard safeguard_;
 };
 
-// The first breach when `faults` (all but the last fixed, the last at each step) meet the scenario.
+// Runs the scenario with `faults`, the last of them at every `stride`-th step and the others at their fixed
+// steps. Returns the first breach that contains `expectedText`, or an empty string.
 std::string firstBreach(ScenarioIndex scenario, std::vector<FaultAt> faults, const std::string &wanted,
                         uint64_t stride)
 {
@@ -44,56 +45,56 @@
     return "";
 }
 
-// A check that nothing can turn red is a defect: with the safeguard the runs hold, without it one breaks as
-// told.
+// Proves that the check behind a safeguard can fail: with the safeguard no run has a breach, without it at
+// least one run has the expected breach.
 void checkNeeded(Safeguard safeguard, ScenarioIndex scenario, const std::vector<FaultAt> &faults,
                  const std::string &wanted, uint64_t stride = 1)
 {
     CHECK(firstBreach(scenario, faults, "", stride).empty());
     const Without without(safeguard);
     const std::string breach = firstBreach(scenario, faults, wanted, stride);
-    fmt::print("safeguard {} taken out: {}\n", static_cast<int>(safeguard), breach);
+    fmt::print("safeguard {} disabled: {}\n", static_cast<int>(safeguard), breach);
     CHECK_FALSE(breach.empty());
 }
 
 } // namespace
 
-// Two entries get the same key at once. Without the register both dispatch, and the clerk's export is filed
+// Two entries receive the same key at once. Without the register both dispatch it, and the call is executed
 // twice.
-TEST_CASE("without the register a doubled call runs twice")
+TEST_CASE("without the register a duplicated call runs twice")
 {
     checkNeeded(Safeguard::RegisterBeforeDispatch, Once, {{Fault::None, 0}}, "ran 2 times");
 }
 
-// The endpoint runs the call and dies before its answer. Without the safeguard the entry sends the call to
-// the next endpoint, which runs it again.
+// The endpoint executes the call, and its connection goes silent before the answer. Without the safeguard the
+// entry sends the call to the next endpoint, which executes it again.
 TEST_CASE("without the rule against resending a call runs at two endpoints")
 {
     checkNeeded(Safeguard::NoResendAfterSend, Once, {{Fault::SilentEndpoint, 0}}, "ran 2 times");
 }
 
-// The notice runs, the endpoint still answers, the list lags. Without marks it gets new work until it is
-// gone.
-TEST_CASE("without marks a leaving endpoint goes on getting work")
+// After its notice an endpoint still answers, and the endpoint list lags behind. Without marks the endpoint
+// gets new work until it is gone.
+TEST_CASE("without marks a leaving endpoint still gets new work")
 {
     CHECK(run(scenarios()[Steady], Fault::ReclaimEndpoint, 10, Seed).breaches.empty());
     const Without without(Safeguard::LeavingMarks);
     DurationMs last;
     for (uint64_t at = 0; at < 100; at += 10)
         last = std::max(last, run(scenarios()[Steady], Fault::ReclaimEndpoint, at, Seed).lastWorkAfterNotice);
-    fmt::print("safeguard {} taken out: last new work {} ms after the notice\n",
+    fmt::print("safeguard {} disabled: last new work {} ms after the notice\n",
                static_cast<int>(Safeguard::LeavingMarks), last.count);
     CHECK(last > DurationMs{1500});
 }
 
-// Two reads of the service overtake each other. Without the rule the older text replaces the newer one.
-TEST_CASE("without the rule on revisions a daemon goes back")
+// Two reads of the service are reordered. Without the rule the older configuration replaces the newer one.
+TEST_CASE("without the rule on revisions a daemon reverts to an older one")
 {
     checkNeeded(Safeguard::RevisionOnlyGrows, Operators, {{Fault::None, 0}}, "went back");
 }
 
-// The copy to the witness is lost and the entry dies after it told the caller "accepted". Without waiting for
-// the copy the caller holds the id of a request that nobody knows.
+// The copy to the witness is lost, and the entry crashes after it reported "accepted" to the caller. Without
+// waiting for the witness's acknowledgement, the caller holds the id of a request that no daemon knows.
 TEST_CASE("without the witness an accepted request is lost with its entry")
 {
     std::string found;
@@ -105,7 +106,7 @@
             found = report.breaches.empty() ? "" : report.breaches.front();
         }
     }
-    fmt::print("safeguard {} taken out: {}\n", static_cast<int>(Safeguard::WitnessBeforeAccept), found);
+    fmt::print("safeguard {} disabled: {}\n", static_cast<int>(Safeguard::WitnessBeforeAccept), found);
     CHECK(found.find("was lost") != std::string::npos);
 }
 
@@ -118,9 +119,9 @@
     }
 }
 
-// An entry is reclaimed with streams open that outlast its notice. With the handover they go on where they
-// are, and no token is written twice; without it their witnesses begin again when the notice is over.
-TEST_CASE("without the handover a reclaim writes open streams again")
+// An entry is reclaimed while it has open streams that outlast its notice. With the handover the streams
+// continue, and no token is generated twice; without it their witnesses start again when the notice expires.
+TEST_CASE("without the handover a reclaim generates open streams again")
 {
     const auto mostTokens = [] {
         uint64_t most = 0;
@@ -135,7 +136,7 @@
     const uint64_t with = mostTokens();
     const Without without(Safeguard::HandoverOnReclaim);
     const uint64_t again = mostTokens();
-    fmt::print("safeguard {} taken out: {} tokens written for {} asked; with it {}\n",
+    fmt::print("safeguard {} disabled: {} tokens generated for {} requested; with it {}\n",
                static_cast<int>(Safeguard::HandoverOnReclaim), again, Asked, with);
     CHECK(with <= Asked + 3);
     CHECK(again > Asked + 100);
@@ -143,8 +144,8 @@
 
 namespace {
 
-// A daemon that took a request over at three bytes and has written on since; a caller comes late with five
-// bytes of the first run. Returns the offset at which it reads on.
+// A daemon takes a request over after three bytes and generates further text; then a caller resumes with five
+// bytes of the first generation. Returns the offset at which the caller continues to read.
 uint64_t offsetForLateCaller()
 {
     Identity identity;
@@ -176,9 +177,9 @@
 
 } // namespace
 
-// The owner wrote on after its copy was sent, and the caller has that text; the new owner wrote other words
-// from the copy's end. Without the cut the caller appends them behind the old ones: a whole that no engine
-// wrote.
+// The owner generated more text after it sent its copy, and the caller has that text; the new owner generated
+// different text from the end of the copy. Without the cut the caller appends the new text to the old one and
+// gets an answer that no engine generated.
 TEST_CASE("without the cut at the branch a late caller gets a mixed answer")
 {
     CHECK(offsetForLateCaller() == 3);
@@ -186,13 +187,13 @@
     CHECK(offsetForLateCaller() == 5);
 }
 
-TEST_CASE("without confirmation a change is accepted that one daemon knows")
+TEST_CASE("without confirmation a change is accepted that only one daemon knows")
 {
     checkNeeded(Safeguard::ConfirmBeforeAccepted, Operators, {{Fault::None, 0}}, "was accepted with");
 }
 
-// The write takes effect and its answer is lost. Without reading back, the operator is told a conflict.
-TEST_CASE("without reading back a written change is told as a conflict")
+// The write takes effect and its answer is lost. Without reading back, the operator gets a conflict reported.
+TEST_CASE("without reading back a written change is reported as a conflict")
 {
     checkNeeded(Safeguard::ReadBackLostAnswer, Operators, {{Fault::PlatformLosesAnswer, 0}},
                 "told a conflict");
