--- a/src/daemon/configchange.cpp
+++ b/src/daemon/configchange.cpp
@@ -55,14 +55,15 @@
 
 void ConfigurationChange::onRead(const StoredConfiguration &stored)
 {
-    // Step 1. Is it there already? Covers the answer that was lost after the write took effect, also when
-    // others have written since: the id stays in the list.
+    // Step 1. Check whether this change is already stored. This covers a reply that was lost after the write
+    // took effect, also when other changes were written since, because the id stays in the list.
     if (std::find(stored.changes.begin(), stored.changes.end(), id_) != stored.changes.end()) {
         revision_ = stored.revision;
         step_ = Step::Confirm;
         return;
     }
-    // Step 2. The first reading fixes the base; from then on any other revision means that somebody won.
+    // Step 2. The first read sets the base; any other revision after that means that another change was
+    // written first.
     if (!base_)
         base_ = stored.revision;
     if (stored.revision != *base_)
@@ -80,9 +81,9 @@
         end(Verdict::Unsettled, {});
 }
 
-// Failure: the answer to the write is lost, and the write itself may still be on its way. Reading the old
-// revision proves nothing then. The same compare-and-swap is repeated until it has an answer: whichever copy
-// comes second fails on the revision, so the change is written at most once.
+// If the reply to the write is lost, the write itself may still be in flight, so reading the old revision
+// does not prove that it failed. The same compare-and-swap is retried until a reply arrives: the copy that
+// arrives second fails the revision check, so the change is written at most once.
 void ConfigurationChange::onWritten(Write outcome, Revision revision, TimeMs now)
 {
     if (outcome == Write::Held) {
--- a/src/daemon/configchange.h
+++ b/src/daemon/configchange.h
@@ -5,37 +5,40 @@
 
 namespace cranberry {
 
-/// What the platform's service keeps under the configuration's key.
+/// The value stored in the platform's key-value store under the configuration's key.
 struct StoredConfiguration {
-    Revision revision; ///< The service's own number for the last write; 0 if there was none.
+    Revision revision; ///< Modification revision in the store; 0 if the key was never written.
     std::string text;
-    std::vector<std::string> changes; ///< Ids of the latest changes, oldest first.
+    std::vector<std::string> changes; ///< Ids of the most recent changes, oldest first.
 };
 
 std::string encodeStored(const StoredConfiguration &stored);
 Result<StoredConfiguration> decodeStored(const std::string &value, Revision revision);
 
-/// One operator's change on its way into force: read, compare-and-swap, read back, confirm. The driver in io
-/// performs step() and reports what came of it; all decisions are here.
+/// State machine of one configuration change by an operator: read, compare-and-swap, read back, confirm. The
+/// driver in io performs the I/O of step() and reports its result; this class makes all decisions.
 class ConfigurationChange
 {
 public:
     enum class Step : uint8_t { Read, Write, Confirm, Done };
     enum class Verdict : uint8_t {
-        Accepted, ///< Written, and held by daemons in enough failure domains.
-        Conflict, ///< Another change came first; nothing was written.
-        Unsettled, ///< The service could not be asked in time: settle it later by the change's id.
-        Unconfirmed ///< Written for good, but not yet seen in enough other failure domains.
+        Accepted, ///< Written, and in force at daemons in enough failure domains.
+        Conflict, ///< Another change was written first; this one was not written.
+        Unsettled, ///< Result unknown at the deadline; can be looked up later by the change's id.
+        Unconfirmed ///< Written, but not confirmed by enough other failure domains before the deadline.
     };
     enum class Write : uint8_t { Held, Failed, Lost };
 
-    /// `base` is the revision the operator edited; none means "whatever is in force now".
+    /// `base` is the revision that the operator edited. If unset, the change applies to the
+    /// revision of the first read.
     ConfigurationChange(std::string id, std::string text, std::optional<Revision> base, TimeMs deadline);
 
     Step step() const { return step_; }
     Verdict verdict() const { return verdict_; }
-    Revision revision() const { return revision_; } ///< Accepted: the new one. Conflict: the winner's.
-    const StoredConfiguration &toWrite() const { return next_; } ///< Its revision is the one compared with.
+    /// Accepted: the new revision. Conflict: the current revision in the store.
+    Revision revision() const { return revision_; }
+    /// The value to write; its revision is the expected revision of the compare-and-swap.
+    const StoredConfiguration &toWrite() const { return next_; }
 
     void onRead(const StoredConfiguration &stored);
     void onReadFailed(TimeMs now);
--- a/src/daemon/configuration.cpp
+++ b/src/daemon/configuration.cpp
@@ -87,11 +87,12 @@
     std::set<std::string> seen;
     for (size_t i = 0; i < items.size(); ++i) {
         if (!seen.insert(items[i].name.value).second)
-            reader.fail(fmt::format("{}[{}].name", field, i), "stands twice: " + items[i].name.value);
+            reader.fail(fmt::format("{}[{}].name", field, i), "duplicate name " + items[i].name.value);
     }
 }
 
-// Depth-first over dependsOn. State 1 is "on the path": meeting it again closes a cycle.
+// Depth-first search over dependsOn. State 0 is unvisited, 1 is on the current path and 2 is finished;
+// reaching a service in state 1 again closes a cycle.
 bool hasCycle(const Configuration &configuration, const ServiceName &name, std::map<std::string, int> &state)
 {
     int &mark = state[name.value];
@@ -134,9 +135,10 @@
         for (size_t k = 0; k < endpoints.size(); ++k) {
             const std::string path = fmt::format("services[{}].endpoints[{}]", i, k);
             if (!known.contains(endpoints[k].failureDomain))
-                return reader.fail(path + ".failureDomain", "unknown " + endpoints[k].failureDomain.value);
+                return reader.fail(path + ".failureDomain",
+                                   "unknown failure domain " + endpoints[k].failureDomain.value);
             if (!names.insert(endpoints[k].name).second)
-                return reader.fail(path + ".name", "stands twice: " + endpoints[k].name.value);
+                return reader.fail(path + ".name", "duplicate name " + endpoints[k].name.value);
         }
     }
 }
@@ -188,12 +190,12 @@
 
 Result<Configuration> parseConfiguration(const std::string &text)
 {
-    // Step 1. Syntax.
+    // Step 1. Parse the JSON syntax.
     BOOST_LEAF_ASSIGN(const json::value value, parseJson(text));
     Configuration configuration;
     FieldReader reader(value, "");
 
-    // Step 2. Fields and their types.
+    // Step 2. Read the fields and check their types and ranges.
     for (const std::pair<const json::value *, std::string> &element :
          reader.elements("failureDomains", true)) {
         if (element.first->is_string())
@@ -210,7 +212,7 @@
     const json::value *weights = object ? object->if_contains("weights") : nullptr;
     configuration.weights = parseWeights(reader, weights ? *weights : noWeights, "weights");
 
-    // Step 3. What the fields mean together.
+    // Step 3. Validate the references between fields.
     checkUnique(reader, configuration.services, "services");
     checkUnique(reader, configuration.organisations, "organisations");
     if (reader.ok())
--- a/src/daemon/counters.h
+++ b/src/daemon/counters.h
@@ -11,15 +11,15 @@
     Accepted,
     AnsweredWhole,
     Resumed,
-    Claimed, ///< Requests taken over from a witness copy.
+    Claimed, ///< Requests taken over from a witness copy after their owner was lost.
     HandedOver,
     TakenOver,
-    RecomputedTokens, ///< Prompt and generated tokens an engine had to compute again.
+    RecomputedTokens, ///< Prompt and generated tokens that an engine had to recompute.
     CachedTokens,
-    WitnessMissing, ///< Accepted with no other daemon to hold the copy.
+    WitnessMissing, ///< Requests accepted while no other daemon could hold the copy.
     SentElsewhere,
     GossipSent,
-    FalseSuspicion, ///< A member taken for gone was heard again.
+    FalseSuspicion, ///< A member that was considered down sent a message again.
     ConfigurationsSeen,
     StaleConfiguration,
     MisdirectedMessages,
@@ -28,7 +28,7 @@
 
 const char *toText(Counter counter);
 
-/// Plain counts of one daemon; the metrics page prints them all.
+/// Counters of one daemon, all exported on the metrics page.
 struct Counters {
     std::array<uint64_t, static_cast<size_t>(Counter::Count)> counts = {};
     std::array<uint64_t, static_cast<size_t>(RefusalReason::Count)> refusals = {};
@@ -42,7 +42,7 @@
     uint64_t of(RetryReason reason) const { return retries[static_cast<size_t>(reason)]; }
 };
 
-/// All counters in the Prometheus text form.
+/// Formats all counters in the Prometheus text exposition format.
 std::string prometheusText(const Counters &counters);
 
 } // namespace cranberry
--- a/src/daemon/cranberryd.cpp
+++ b/src/daemon/cranberryd.cpp
@@ -13,7 +13,7 @@
     int checkOnly = 0;
     CommandLine line("cranberryd", "[OPTION...] --settings FILE");
     line.addText("settings", 's', file, "settings in JSON (required)", "FILE");
-    line.addFlag("check", 'c', checkOnly, "check the settings and end");
+    line.addFlag("check", 'c', checkOnly, "check the settings and exit");
     if (!line.parse(argc, argv))
         return line.exitCode();
     if (file.empty())
--- a/src/daemon/peercodec.cpp
+++ b/src/daemon/peercodec.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// ---- Values ----
+// ---- Value types ----
 
 void put(wire::Address &to, const Address &from)
 {
@@ -58,7 +58,7 @@
     return {from.status(), from.content_type(), from.finish_reason(), from.length(), from.digest()};
 }
 
-// A value above the last one comes from a newer version, or from damage; it is read as `fallback`.
+// A value above `last` comes from a newer version or from corrupt data; it is decoded as `fallback`.
 template <typename E>
 E enumFrom(uint32_t value, E last, E fallback)
 {
@@ -128,7 +128,7 @@
     return to;
 }
 
-// ---- Messages: one put for each kind, and one get ----
+// ---- Message kinds: one encoder (put) and one decoder (get) each ----
 
 void put(wire::Member &to, const MemberInfo &info)
 {
@@ -185,7 +185,8 @@
     for (const wire::Suspicion &suspicion : from.suspicions())
         to.suspicions.push_back({{suspicion.incarnation()}, suspicion.version()});
     for (const wire::Mark &mark : from.marks()) {
-        // A kind this version does not know is left out; its daemon asks for what it misses.
+        // Skips marks of a kind that this version does not know. The digests then differ, so the daemon
+        // requests the missing marks again.
         if (mark.kind() <= static_cast<uint32_t>(MarkKind::DaemonMoved))
             to.marks.push_back({{static_cast<MarkKind>(mark.kind()),
                                  {mark.instance()},
@@ -222,7 +223,7 @@
 
 PeerMessage get(const wire::OnceQuestion &from)
 {
-    // An action this version does not know is read as the one that changes least.
+    // An unknown action is decoded as Finish, the one that changes the least state.
     return OnceQuestion{enumFrom(from.action(), OnceAction::Finish, OnceAction::Finish),
                         get(from.key()),
                         from.attempt(),
--- a/src/daemon/peercodec.h
+++ b/src/daemon/peercodec.h
@@ -8,16 +8,16 @@
 class Envelope;
 }
 
-/// A peer message with the lives it goes between.
+/// A peer message with the incarnations of its sender and receiver.
 struct PeerEnvelope {
     Incarnation from;
-    Incarnation to; ///< 0: whoever lives at the address.
+    Incarnation to; ///< 0: any incarnation at the address.
     PeerMessage message;
 };
 
 void toWire(const PeerEnvelope &envelope, wire::Envelope &out);
 
-/// Nothing if it is a message of a kind that this version does not know.
+/// Returns nullopt if this version does not know the kind of message.
 std::optional<PeerEnvelope> fromWire(const wire::Envelope &in);
 
 std::string encodeEnvelope(const PeerEnvelope &envelope);
--- a/src/daemon/safeguards.h
+++ b/src/daemon/safeguards.h
@@ -4,20 +4,20 @@
 
 namespace cranberry {
 
-/// Every safeguard that a test can take out, to show that the check behind it can fail.
+/// Safeguards that a test build can disable, to show that the test of each one fails without it.
 enum class Safeguard : uint8_t {
-    RegisterBeforeDispatch, ///< Keyed work is dispatched only under a grant.
-    NoResendAfterSend, ///< Non-idempotent work is not repeated once a byte may have left.
-    RefusalIsWritten, ///< "Not run" for a key is recorded before it is told.
-    SealBeforeMove, ///< A register that moved never grants again.
-    MoveOnlyFromHolder, ///< A grant moves only from the daemon that holds it.
-    LeavingMarks, ///< Marks keep new work away from leaving endpoints.
+    RegisterBeforeDispatch, ///< Dispatches a request with a key only under a grant of its register.
+    NoResendAfterSend, ///< Never retries a non-idempotent request once a byte may have been sent.
+    RefusalIsWritten, ///< Records "not run" for a key before reporting it to the caller.
+    SealBeforeMove, ///< A register that was transferred never grants again.
+    MoveOnlyFromHolder, ///< Transfers a grant only on behalf of the daemon that holds it.
+    LeavingMarks, ///< Selects no endpoint whose instance is marked as leaving.
     RevisionOnlyGrows, ///< An older configuration never replaces a newer one.
-    WitnessBeforeAccept, ///< A request is accepted only once its copy is held elsewhere.
-    HandoverOnReclaim, ///< A reclaimed entry moves what it can't finish.
-    CutAtBranch, ///< A resumed answer starts where the texts still agree.
-    ConfirmBeforeAccepted, ///< "Accepted" waits for other failure domains.
-    ReadBackLostAnswer, ///< A configuration write without an answer is read back.
+    WitnessBeforeAccept, ///< Accepts a request only after another daemon holds its copy.
+    HandoverOnReclaim, ///< A daemon on a reclaimed instance hands over unfinished requests.
+    CutAtBranch, ///< Resumes an answer where the old and the new text still agree.
+    ConfirmBeforeAccepted, ///< Reports a change as accepted only after other failure domains confirm.
+    ReadBackLostAnswer, ///< Reads the configuration back after a write without a reply.
     Count
 };
 
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -5,7 +5,7 @@
 
 namespace cranberry {
 
-/// One daemon's own settings, read once at start.
+/// Settings of one daemon, read once at startup.
 struct Settings {
     InstanceName instance;
     FailureDomainName failureDomain;
@@ -13,8 +13,8 @@
     Address adminAddress;
     Address peerAddress;
     Address platformAddress;
-    std::vector<Address> peers; ///< Seeds: any few of the other daemons' peer addresses.
-    DurationMs entryKeep{5000}; ///< How long a caller may keep an answer to "which entries".
+    std::vector<Address> peers; ///< Seed list: peer addresses of some of the other daemons.
+    DurationMs entryKeep{5000}; ///< How long a caller may cache the list of entry daemons.
     DurationMs answerKeep{30000};
     DurationMs drainLimit{120000};
     uint32_t maxBodyBytes = 4U << 20;
--- a/tests/change_explorer_test.cpp
+++ b/tests/change_explorer_test.cpp
@@ -9,10 +9,11 @@
 
 using namespace cranberry;
 
-// Breadth-first over two operators' changes, on the shipping ConfigurationChange. A write may be delayed
-// without end, arrive although its answer was given up as lost, or never arrive; reads may fail. What an
-// operator is told stays true whatever arrives later: "accepted" is in the list of changes for good,
-// "conflict" never is.
+// Breadth-first search over the interleavings of two operators' changes with a bounded number of lost
+// replies, on the production ConfigurationChange. A write may be delayed without bound, take effect after its
+// reply was considered lost, or never arrive; reads may fail. The result reported to an operator must stay
+// true whatever arrives later: an accepted change stays in the list of changes, a change with a conflict
+// never appears in it.
 
 namespace {
 
@@ -22,8 +23,8 @@
     std::vector<ConfigurationChange> changes;
     StoredConfiguration stored{{1}, "text", {}};
     std::map<std::string, StoredConfiguration>
-        writes; ///< Sent at some time; each may arrive at any later time, once.
-    std::vector<bool> waiting = std::vector<bool>(Operators, false); ///< For the answer to a write.
+        writes; ///< Writes in flight; each may arrive once, at any later time.
+    std::vector<bool> waiting = std::vector<bool>(Operators, false); ///< For the reply to a write.
     uint8_t lost = 0;
 };
 
@@ -72,9 +73,9 @@
             const std::vector<std::string> &ids = state.stored.changes;
             const bool written = std::find(ids.begin(), ids.end(), fmt::format("c{}", i)) != ids.end();
             if (change.verdict() == ConfigurationChange::Verdict::Accepted && !written)
-                breach_ = "accepted, and not there";
+                breach_ = "accepted, but not written";
             if (change.verdict() == ConfigurationChange::Verdict::Conflict && written)
-                breach_ = "told a conflict, and written";
+                breach_ = "reported as a conflict, but written";
             if (std::count(ids.begin(), ids.end(), fmt::format("c{}", i)) > 1)
                 breach_ = "written twice";
         }
@@ -82,7 +83,8 @@
             frontier_.push_back(std::move(state));
     }
 
-    // A write that arrives takes effect only on the revision that it compares with.
+    // Applies an arriving write if the stored revision equals its expected revision. Returns whether it was
+    // applied.
     static bool arrive(State &state, const StoredConfiguration &write)
     {
         if (write.revision != state.stored.revision)
@@ -98,7 +100,7 @@
         for (size_t i = 0; i < Operators; ++i)
             expandOperator(state, i);
         for (const std::pair<const std::string, StoredConfiguration> &write : state.writes) {
-            State next = state; // A write given up as lost takes effect late.
+            State next = state; // A write that was considered lost arrives late.
             next.writes.erase(write.first);
             arrive(next, write.second);
             visit(std::move(next));
@@ -128,7 +130,7 @@
             if (state.lost == MostLost)
                 return;
             for (const TimeMs &when : {early, late}) {
-                State lost = state; // No answer: it took effect, or still may.
+                State lost = state; // No reply: the write is still in flight.
                 ++lost.lost;
                 lost.writes.emplace(fmt::format("{}{}", encodeStored(change.toWrite()), state.lost),
                                     change.toWrite());
@@ -149,7 +151,7 @@
 
 } // namespace
 
-TEST_CASE("explorer: what an operator was told about a change stays true")
+TEST_CASE("explorer: the reported result of a change stays true")
 {
     Explorer explorer;
     explorer.explore();
@@ -158,12 +160,12 @@
     CHECK(explorer.states() > 100);
 }
 
-// The answer is lost, the operator is told a conflict, and the write arrives afterwards.
-TEST_CASE("explorer: without reading back a change told as a conflict is written")
+// Without the read-back, a lost reply is reported as a conflict and the write takes effect afterwards.
+TEST_CASE("explorer: without the read-back a change reported as a conflict is written")
 {
     setSafeguard(Safeguard::ReadBackLostAnswer, false);
     Explorer explorer;
     explorer.explore();
     setSafeguard(Safeguard::ReadBackLostAnswer, true);
-    CHECK(explorer.breach() == "told a conflict, and written");
+    CHECK(explorer.breach() == "reported as a conflict, but written");
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("every peer message is read back as it was written")
+TEST_CASE("peer messages of every kind survive encoding and decoding")
 {
     const std::vector<PeerMessage> messages = oneOfEach();
     CHECK(messages.size() == std::variant_size_v<PeerMessage>);
@@ -67,8 +67,9 @@
     CHECK(std::get<RequestCopy>(copy->message).end == std::get<RequestCopy>(messages[5]).end);
 }
 
-// Damaged bytes, as a broken peer or a stranger would send them: read as something harmless or not at all.
-TEST_CASE("damaged envelopes never break the reader")
+// Guards against a crash on corrupt bytes, as a faulty peer or a foreign client could send them. The decoder
+// must reject them or return a well-formed message.
+TEST_CASE("corrupt envelopes never crash the decoder")
 {
     std::mt19937 random(1);
     size_t read = 0;
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -60,11 +60,11 @@
     CHECK(configurationOutcome(replaced("[\"portal\"]", "[\"redactor\"]"))
           == "services[0].dependsOn: closes a cycle");
     CHECK(configurationOutcome(replaced("\"failureDomain\":\"leioa\"", "\"failureDomain\":\"x\""))
-          == "services[0].endpoints[0].failureDomain: unknown x");
+          == "services[0].endpoints[0].failureDomain: unknown failure domain x");
     CHECK(configurationOutcome(replaced("127.0.0.1:9001", "127.0.0.1"))
           == "services[0].endpoints[0].address: must be IP:PORT");
     CHECK(configurationOutcome(replaced("\"name\":\"p1\"", "\"name\":\"r1\""))
-          == "services[1].endpoints[0].name: stands twice: r1");
+          == "services[1].endpoints[0].name: duplicate name r1");
     CHECK(configurationOutcome(replaced("\"kind\":\"plain\",", "")) == "services[1].kind: is missing");
     CHECK(configurationOutcome("{\n\n  oops") == "line 3: syntax error");
     CHECK(configurationOutcome("[]") == "must be an object");
