--- a/src/daemon/io/adminapi.cpp
+++ b/src/daemon/io/adminapi.cpp
@@ -27,7 +27,7 @@
     return Names[static_cast<size_t>(phase)];
 }
 
-// What is wrong with the text, or an empty string.
+// Returns an error message if the configuration text is invalid, otherwise an empty string.
 std::string checkText(const std::string &text)
 {
     return boost::leaf::try_handle_all(
@@ -117,7 +117,8 @@
         id));
 }
 
-// Performs the step that the change asks for, and comes back with what it brought.
+// Performs the next step of the change, passes the result to it and continues until it is done or waits for
+// confirmation.
 void AdminApi::advance(const RunningPtr &running)
 {
     ConfigurationChange &change = running->change;
--- a/src/daemon/io/adminapi.h
+++ b/src/daemon/io/adminapi.h
@@ -9,17 +9,17 @@
 
 class Server;
 
-/// The operators' interface over HTTP, behind cranberryctl; also metrics, health and readiness.
+/// The operators' HTTP interface, used by cranberryctl. Also serves metrics, liveness and readiness.
 class AdminApi
 {
 public:
     explicit AdminApi(Server &server) : server_(server) { }
 
     void onRequest(const HttpExchangePtr &exchange);
-    void tick(); ///< Moves changes on that wait for confirmation.
+    void tick(); ///< Rechecks the changes that wait for confirmation.
 
 private:
-    struct Running; ///< A change of configuration on its way.
+    struct Running; ///< A configuration change in progress.
     using RunningPtr = std::shared_ptr<Running>;
 
     void getConfiguration(const HttpExchangePtr &exchange);
--- a/src/daemon/io/callerapi.cpp
+++ b/src/daemon/io/callerapi.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr DurationMs KeepAliveAfter{1000};
-constexpr size_t MaxPendingBytes = 8U << 20; ///< A caller that doesn't read is let go; it may resume.
+constexpr size_t MaxPendingBytes = 8U << 20; ///< Slower readers are disconnected; they may resume.
 constexpr const char *RequestsPath = "/v1/requests/";
 constexpr const char *ServicesPath = "/v1/services/";
 
@@ -30,7 +30,7 @@
                                                                                                : value;
 }
 
-// "<registrar>.<session>", as given out by /v1/entries.
+// Formats a session as "<registrar>.<session>", the form in which /v1/entries returns it.
 std::string sessionText(const OnceKey &key)
 {
     return fmt::format("{:016x}.{}", key.registrar.value, key.session);
@@ -89,7 +89,7 @@
     exchange.respond(statusOf(refusal), headers, json::serialize(body));
 }
 
-// Fills what all work has in common from the headers. Returns what is wrong, or an empty string.
+// Fills the fields that all requests share from the headers. Returns an error message, or an empty string.
 std::string readCommon(const HttpHeaders &headers, RequestSpec &spec)
 {
     constexpr uint64_t Bad = ~0ULL;
@@ -110,7 +110,7 @@
     const std::string session = headerOf(headers, "X-Session");
     const std::string key = headerOf(headers, "Idempotency-Key");
     if (session.empty()) {
-        // A bare key belongs to its organisation; another one's equal key is another key.
+        // Bare keys are scoped by organisation, so that equal keys of two organisations don't collide.
         if (!key.empty())
             spec.key.bare = spec.organisation.value + "/" + key;
         return {};
@@ -126,7 +126,8 @@
     return {};
 }
 
-// Text of all messages, for prefix knowledge. Returns what is wrong, or an empty string.
+// Reads the model, the options and the text of all messages, which is used for prefix matching. Returns an
+// error message, or an empty string.
 std::string readChatBody(const std::string &body, RequestSpec &spec)
 {
     json::error_code code;
@@ -162,8 +163,8 @@
     return fmt::format("{:016x}", digest);
 }
 
-// The hot path of the relay: written out by hand, since building a JSON tree for each token took a third of
-// its time.
+// Formats the JSON directly, because this is the hot path of streaming: building a JSON tree for each token
+// took a third of its time.
 std::string chunkEvent(const std::string &requestId, const CallerData &data)
 {
     return fmt::format(
@@ -269,7 +270,7 @@
     sink_(CallerSubmit{caller.id, std::move(spec)});
 }
 
-// Last-Event-ID ("<lineage>:<offset>") is what an SSE client sends by itself when it connects again.
+// SSE clients send the Last-Event-ID header ("<lineage>:<offset>") automatically when they reconnect.
 void CallerApi::resume(const HttpExchangePtr &exchange, const HttpTarget &target)
 {
     const std::string idText = target.path.substr(std::string(RequestsPath).size());
@@ -376,7 +377,7 @@
     if (!caller)
         return;
     if (caller->streaming) {
-        // No [DONE]: the caller knows that this is not the whole answer.
+        // [DONE] is left out, so that the caller can tell that the response is incomplete.
         const json::object error{{"error", refusalBody(action.refusal)}};
         caller->exchange->write(fmt::format("event: error\ndata: {}\n\n", json::serialize(error)));
         caller->exchange->finish();
--- a/src/daemon/io/callerapi.h
+++ b/src/daemon/io/callerapi.h
@@ -8,7 +8,7 @@
 
 namespace cranberry {
 
-/// The callers' interface over HTTP (docs/CALLERS.md): turns requests into events and actions into responses.
+/// The callers' HTTP interface (docs/CALLERS.md): turns requests into events, and actions into responses.
 class CallerApi
 {
 public:
@@ -27,7 +27,7 @@
     void handle(const CallerElsewhere &action);
     void handle(const EntriesAnswer &action);
 
-    /// A comment to each stream that was idle for a while, so that callers notice a silent connection.
+    /// Writes an SSE comment to each idle stream, so that callers can detect a dead connection.
     void tick();
 
     const LatencyHistograms &latencies() const { return latencies_; }
@@ -38,9 +38,9 @@
         CallerId id;
         HttpExchangePtr exchange;
         bool stream = false;
-        bool streaming = false; ///< The response head is out.
+        bool streaming = false; ///< The response head of the stream has been written.
         std::string requestId;
-        std::string text; ///< What has come so far; only kept for callers that don't stream.
+        std::string text; ///< The response text received so far; only kept for callers that don't stream.
         TimeMs arrivedAt;
         TimeMs lastWrite;
         bool gotText = false;
--- a/src/daemon/io/endpointlink.cpp
+++ b/src/daemon/io/endpointlink.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// An endpoint whose process runs takes a connection within milliseconds. One whose instance is silent does
-/// not count as ended, and its callers are not to wait for that.
+/// An endpoint whose process runs accepts a connection within milliseconds. An endpoint on an unresponsive
+/// instance does not count as exited, and its callers should not wait for the probe.
 constexpr DurationMs BreakQuestionTimeout{200};
 
 } // namespace
@@ -24,9 +24,9 @@
     bool model = false;
     EndpointEnd end;
     std::string buffer;
-    std::string text; ///< Collected from one read, handed on in one event.
-    uint32_t tokens = 0; ///< In `text`.
-    bool whole = false; ///< The engine's own end mark was seen.
+    std::string text; ///< Text collected from one read and passed on in one event.
+    uint32_t tokens = 0; ///< Number of tokens in `text`.
+    bool whole = false; ///< The engine's end marker, [DONE], was received.
     bool saidNotRun = false;
     bool repeatable = false;
 };
@@ -97,7 +97,7 @@
     running.end.contentType = headerOf(headers, "Content-Type");
     running.saidNotRun = status == 503 && headerOf(headers, "X-Not-Run") == "true";
     if (status != 200)
-        running.model = false; // An error body is passed on as it is.
+        running.model = false; // Error bodies are passed on unchanged.
 }
 
 void EndpointLink::onData(Running &running, const char *data, size_t size)
@@ -164,8 +164,8 @@
         running.end.finishReason = std::string(reason->as_string());
 }
 
-// A stream counts as whole only with the engine's end mark: a connection that closes cleanly in the middle
-// would otherwise pass for a short answer.
+// A stream is complete only with the engine's end marker; without this check, a connection that is closed
+// cleanly in the middle of a response would look like a short response.
 void EndpointLink::onDone(const std::shared_ptr<Running> &done, HttpFailure failure)
 {
     Running &running = *done;
@@ -187,8 +187,8 @@
     sink_(running.end);
 }
 
-// Whether the endpoint ended or only the connection: a request under which endpoint after endpoint ends must
-// not be sent on, one that met a broken connection must.
+// Probes whether the endpoint's process exited or only the connection failed. A request that crashes one
+// endpoint after another must not be retried, but a request whose connection failed must be.
 void EndpointLink::askAfterBreak(const std::shared_ptr<Running> &running)
 {
     HttpCall call;
--- a/src/daemon/io/endpointlink.h
+++ b/src/daemon/io/endpointlink.h
@@ -7,7 +7,8 @@
 
 namespace cranberry {
 
-/// Attempts at endpoints: model engines in the OpenAI chat-completions form, plain services as they are.
+/// Runs attempts at endpoints over HTTP. Model engines get OpenAI chat-completion requests; requests to plain
+/// services are forwarded unchanged.
 class EndpointLink
 {
 public:
@@ -32,8 +33,8 @@
     std::map<AttemptId, std::shared_ptr<Running>> running_;
 };
 
-/// The body for an engine: streamed, and going on from `prefix` by the published continue_final_message
-/// field.
+/// Returns the request body for an engine. It asks for a streamed response; if the attempt has a `prefix`, it
+/// makes the engine continue that text through the published continue_final_message field.
 std::string engineBody(const StartAttempt &attempt);
 
 } // namespace cranberry
--- a/src/daemon/io/jsonread.h
+++ b/src/daemon/io/jsonread.h
@@ -5,11 +5,11 @@
 
 namespace cranberry {
 
-/// For answers of systems outside, which are read leniently: a field that is missing or of another type is
-/// empty or 0.
+/// Lenient readers for responses of external systems: a field that is missing or has another type is read as
+/// an empty string or 0. Text that is not JSON is read as null.
 boost::json::value parsedOrNull(const std::string &text);
 std::string textAt(const boost::json::value &value, const char *name);
-/// Also reads numbers written as strings, as the key-value service does.
+/// Also accepts numbers written as strings, as the key-value service writes them.
 uint64_t numberAt(const boost::json::value &value, const char *name);
 
 } // namespace cranberry
--- a/src/daemon/io/logging.h
+++ b/src/daemon/io/logging.h
@@ -5,7 +5,8 @@
 
 namespace cranberry {
 
-/// One key=value line to standard error. For changes of state only; everything else is a counter.
+/// Writes one line of key=value fields to standard error. Only state changes are logged; everything else is
+/// counted in metrics.
 void logLine(const std::string &event, const std::string &fields);
 
 template <typename... Args>
--- a/src/daemon/io/peerlink.cpp
+++ b/src/daemon/io/peerlink.cpp
@@ -32,7 +32,7 @@
     return channel;
 }
 
-/// One call in flight; deletes itself when gRPC reports its end.
+/// A call in flight. The completion callback deletes it.
 struct Call {
     grpc::ClientContext context;
     wire::Envelope request;
@@ -62,7 +62,7 @@
     Receiver receiver;
     Service service;
     std::unique_ptr<grpc::Server> server;
-    std::mutex mutex; ///< Guards channels; gRPC reports on its own threads.
+    std::mutex mutex; ///< Guards `channels`, because gRPC runs completion callbacks on its own threads.
     std::map<Address, std::shared_ptr<Channel>> channels;
     std::atomic<uint64_t> bytesSent{0};
 };
@@ -91,8 +91,9 @@
     return channel;
 }
 
-// Failure: something between the two ends loses track of the connection, and it is silent for good while new
-// ones work. Two calls without an answer replace it; a fresh connection is all that is needed.
+// Drops the channel after two consecutive failed calls, so that the next call opens a new connection. Guards
+// against network paths that lose the state of a connection: that connection then never responds again, while
+// new connections work.
 void PeerLink::State::dropIfSilent(const Address &address, const std::shared_ptr<Channel> &channel, bool ok)
 {
     const std::lock_guard<std::mutex> lock(mutex);
--- a/src/daemon/io/peerlink.h
+++ b/src/daemon/io/peerlink.h
@@ -8,13 +8,14 @@
 
 namespace cranberry {
 
-/// Carries peer messages by gRPC, one unary call each. Nothing is repeated here: the core does that.
+/// Sends and receives peer messages over gRPC, with one unary call per message. Failed calls are not retried
+/// here; the core retries.
 class PeerLink
 {
 public:
     using Receiver = std::function<void(PeerInbound)>;
 
-    /// Listens on `address`; messages arrive on the io_context's thread. Empty on failure to listen.
+    /// Listens on `address` and calls `receiver` on the io_context's thread. Returns null if listening fails.
     static std::unique_ptr<PeerLink> open(boost::asio::io_context &io, const Address &address,
                                           Incarnation self, Receiver receiver);
     ~PeerLink();
--- a/src/daemon/io/platform.cpp
+++ b/src/daemon/io/platform.cpp
@@ -14,7 +14,7 @@
 constexpr const char *ConfigurationKey = "/cranberry/configuration";
 constexpr const char *OncePrefix = "/cranberry/once/";
 constexpr DurationMs CallTimeout{1500};
-constexpr DurationMs ReadInterval{3000}; ///< Stands behind the watch, which can go silent.
+constexpr DurationMs ReadInterval{3000}; ///< Polling backs up the watch, which can stop delivering.
 constexpr DurationMs WatchTimeout{15000};
 constexpr DurationMs WatchPause{500};
 constexpr DurationMs NoticeInterval{400};
@@ -143,7 +143,8 @@
     const json::object put{{"request_put", json::object{{"key", toBase64(key)}, {"value", toBase64(value)}}}};
     const json::object body{{"compare", json::array{compare}}, {"success", json::array{put}}};
     post("/v3/kv/txn", json::serialize(body), [onDone = std::move(onDone)](const HttpResponse &response) {
-        // No byte left, or the service's own refusal: surely not written. Everything else may have been.
+        // Failed: the request was never sent or the service rejected it, so nothing was written. In all other
+        // cases the write may have taken effect.
         if (!mayHaveArrived(response.failure))
             return onDone(ConfigurationChange::Write::Failed, {});
         const json::value answer = parsedOrNull(response.body);
@@ -183,7 +184,8 @@
     compareAndSwap(ConfigurationKey, stored.revision.value, encodeStored(stored), std::move(onDone));
 }
 
-// Every daemon reads once at its start; after that only the watchers do, and the others hear it from them.
+// Every daemon reads the configuration once at start. After that only the watchers read it, and the other
+// daemons receive it from them.
 void Platform::readLoop()
 {
     if (hasRead_ && !isWatcher_())
@@ -198,8 +200,8 @@
     });
 }
 
-// A watch only hastens the next reading: what it says is never taken over itself, so a gap in it costs time
-// and nothing else. It is opened anew when it has been silent for long.
+// A watch event only triggers an early read and its contents are never applied, so a gap in the watch causes
+// delay and no other harm. A watch without data for WatchTimeout is reopened.
 void Platform::watch()
 {
     if (!isWatcher_())
@@ -281,8 +283,9 @@
     askAgain(question, asker, 0);
 }
 
-// Read, apply the register's rule, compare-and-swap. A lost answer is read again: the rule gives the same
-// verdict to the same request, so a write that took effect is recognised.
+// Reads the record, applies the once rule to it and writes it back by compare-and-swap. After a lost response
+// the record is read again; the rule gives the same reply to the same request, so a write that took effect is
+// recognised.
 void Platform::askAgain(const OnceQuestion &question, Incarnation asker, uint32_t tries)
 {
     const std::string key = OncePrefix + question.key.bare;
--- a/src/daemon/io/platform.h
+++ b/src/daemon/io/platform.h
@@ -9,25 +9,26 @@
 
 namespace cranberry {
 
-/// The platform's key-value service through etcd's published v3 JSON interface (range, txn, watch), and the
-/// cloud's list of instances. Another platform replaces this file.
+/// Client of the platform: of its key-value service, through etcd's published v3 JSON API (range, txn, watch),
+/// and of the cloud's list of instances. To support another platform, replace this class.
 class Platform
 {
 public:
     using Sink = std::function<void(Event)>;
 
-    /// `isWatcher` tells whether this daemon is to read for the others too.
+    /// `isWatcher` returns whether this daemon reads from the platform on behalf of the other daemons.
     Platform(boost::asio::io_context &io, HttpClient &http, const Address &address, Sink sink,
              std::function<bool()> isWatcher);
 
-    /// Reads and watches the configuration, and polls the cloud's notices, until the object goes.
+    /// Reads and watches the configuration and polls the cloud's termination notices until this object is
+    /// destroyed.
     void start();
 
     void readConfiguration(std::function<void(std::optional<StoredConfiguration>)> onDone);
-    /// Compare-and-swap on `stored.revision`.
+    /// Writes by compare-and-swap against `stored.revision`.
     void writeConfiguration(const StoredConfiguration &stored,
                             std::function<void(ConfigurationChange::Write, Revision)> onDone);
-    /// Applies the question to the record of a bare key by compare-and-swap.
+    /// Applies the query to the once record of a bare key by compare-and-swap.
     void ask(const OnceQuestion &question, Incarnation asker);
 
     uint64_t reads() const { return reads_; }
@@ -36,7 +37,7 @@
 
 private:
     struct Value {
-        bool known = false; ///< False: the service did not answer.
+        bool known = false; ///< False if the service did not respond.
         std::string text;
         uint64_t modRevision = 0;
     };
--- a/src/daemon/io/server.cpp
+++ b/src/daemon/io/server.cpp
@@ -62,8 +62,7 @@
     return {std::chrono::duration_cast<std::chrono::milliseconds>(since).count()};
 }
 
-// Events that come up while actions are performed wait for their turn, so that the core is never entered
-// twice.
+// Events posted while actions are being performed are queued, so that the core is never reentered.
 void Server::post(Event event)
 {
     pending_.push_back(std::move(event));
@@ -123,7 +122,7 @@
     });
 }
 
-// The first signal drains; a second one is taken as "at once".
+// The first signal starts a drain; a second one stops the daemon immediately.
 void Server::onSignal()
 {
     signals_.async_wait([this](const boost::system::error_code &code, int) {
@@ -140,8 +139,8 @@
 void Server::stop()
 {
     logChange("stopped", "instance={}", settings_.instance.value);
-    // No new connections; a moment for requests that are already on open ones, which are sent elsewhere, and
-    // for the last bytes on their way out.
+    // Accepts no new connections and waits for StopGrace, so that requests already received on open
+    // connections can be redirected to other daemons and pending output can be written.
     callerServer_->stopAccepting();
     std::shared_ptr<boost::asio::steady_timer> timer
         = std::make_shared<boost::asio::steady_timer>(io_, std::chrono::milliseconds(StopGrace.count));
--- a/src/daemon/io/server.h
+++ b/src/daemon/io/server.h
@@ -12,14 +12,14 @@
 
 namespace cranberry {
 
-/// One running cranberryd: the core with its adapters on one thread.
+/// A running cranberryd: the core and its I/O adapters, on one thread.
 class Server
 {
 public:
     explicit Server(Settings settings);
     ~Server();
 
-    /// Serves until drained; returns the process's exit code.
+    /// Serves until the daemon is drained. Returns the exit code of the process.
     int run();
 
     Server(const Server &) = delete;
