--- a/src/daemon/io/platform.h
+++ b/src/daemon/io/platform.h
@@ -9,8 +9,9 @@
 
 namespace cranberry {
 
-/// Client of the platform: of its key-value service, through etcd's published v3 JSON API (range, txn, watch),
-/// and of the cloud's list of instances. To support another platform, replace this class.
+/// Client of the platform: reads and writes its key-value service through etcd's published v3 JSON API
+/// (range, txn, watch) and polls the cloud's list of instances. To support another platform, replace this
+/// class.
 class Platform
 {
 public:
