--- a/standins/deployment.cpp
+++ b/standins/deployment.cpp
@@ -1,23 +1,27 @@
-// Stand-in for a whole deployment on the users' platform: its store, three engines, two plain services and
-// the receiver of duties, in one process. The store and the duties are at --listen; endpoint N is N ports
-// above.
+// Stand-in for a deployment on the users' platform in one process: its key-value store, three engines, two
+// plain services and the receiver of the leader tasks. The store and the receiver listen at --listen;
+// endpoint N, counted from 0, listens N + 1 ports
+// above it.
 //
-// POST /rollout?service=S&target=V&seconds=N orders a roll-out; /replace?endpoint=N&version=V puts an
-// endpoint of that version in the place of the Nth; fault newFails: endpoints of another version than the
-// first answer 500.
+// Control requests:
+//   POST /configure stores the body as the operator's configuration.
+//   POST /rollout?service=S&target=V&seconds=N orders a roll-out.
+//   POST /replace?endpoint=N&version=V replaces the Nth endpoint by a new one with another id; without
+//   version it keeps the version. POST /restart?endpoint=N restarts it under the same id.
+//   POST /leave?endpoint=ID&ms=N announces that an endpoint leaves.
+//   POST /spoil?endpoint=ID&entry=TEXT stores TEXT as the endpoint's entry until called without an entry.
+//   POST /limit?endpoint=N&perSecond=TEXT makes the Nth endpoint send that rate limit with its responses,
+//   until called without perSecond.
+//   POST /copy saves a copy of the store, POST /return restores it as the next era.
 //
-// Faults of the store: down, silent, slowMs (all of the store and the duties), loseReplies (the next N writes
-// are carried out and not answered). Faults of all endpoints: tokens, tokenMs (a stream's length and pace),
-// workMs, full (answers "not executed"), dropAnswers (the next N calls run and their connections are cut),
-// cutAfter (the next stream ends in the middle of an event after N events). POST /configure takes the
-// operator's configuration; POST /leave?endpoint=ID&ms=N announces that an endpoint leaves; POST
-// /replace?endpoint=N puts a new one in the place of the Nth, /restart?endpoint=N starts it again under its
-// id; POST /spoil?endpoint=ID&entry=TEXT writes TEXT as its entry, until it is called without one. Fault
-// advertiseOffset: endpoints are listed at ports so much higher, where a proxy listens. A request whose body
-// is "crash" ends the endpoint that begins to run it, with all that it has; it is back under another id after
-// crashMs. POST /limit?endpoint=N&perSecond=TEXT: the Nth names that limit with its answers, until it is
-// called without one. POST /copy keeps a copy of the store, POST /return brings it back from there, in the
-// next era.
+// Faults of the store and the receiver: down, silent, slowMs. Faults of the store: loseReplies (the next N
+// writes are executed but not answered).
+// Faults of all endpoints: tokens, tokenMs (a stream's length and interval), workMs, full (answers "not
+// executed"), dropAnswers (the next N calls run, then their connections are closed), cutAfter (the next
+// stream is cut in the middle of an event after N events), newFails (endpoints of another version than the
+// first answer 500), advertiseOffset (endpoints are listed at ports this much higher, where a proxy listens).
+// A request whose body is "crash" crashes the endpoint that runs it, with all its other requests; the
+// endpoint returns under another id after crashMs.
 
 #include "io/base64.h"
 #include "standin.h"
@@ -149,7 +153,7 @@
             [this, index](const HttpExchangePtr &exchange) { onEndpoint(index, exchange); });
     }
 
-    // Nobody listens there any more. Its entry stays in the list, as that of a process that says nothing.
+    // Closes the endpoint's port and connections. Its entry stays in the store, as that of a crashed process.
     void crash(int index)
     {
         standin_.log(fmt::format("crash endpoint={}", idOf(index)));
@@ -169,7 +173,7 @@
         respondJson(exchange, reply.status, reply.body, {{"Store-Era", std::to_string(store_.era())}});
     }
 
-    // Entries of endpoints that are gone came back with the older copy; nobody renews them.
+    // Removes the entries of replaced endpoints that the restored copy contains: no process renews them.
     void dropLapsed()
     {
         std::set<std::string> present;
@@ -205,7 +209,7 @@
         startedAtMs_[index] = wallMs();
         publish();
     }
-    // The same name, another process: what ran is lost, and it does not leave any more.
+    // Restarts the process under the same id: running requests are lost and a planned leave is cancelled.
     void restart(size_t index)
     {
         if (index >= starts_.size())
@@ -259,7 +263,7 @@
         const std::string id = headerOf(request.headers, "X-Request-Id");
         const std::string expected = headerOf(request.headers, "X-Expect-Instance");
         if (!servers_[static_cast<size_t>(index)])
-            return exchange->abort(); // On a connection that was kept from before its end.
+            return exchange->abort(); // On a connection kept open from before the crash.
         if (!expected.empty() && expected != idOf(index))
             return exchange->respond(421, {{"X-Instance-Id", idOf(index)}}, "");
         if (id.empty())
@@ -329,14 +333,14 @@
     cranberry::Address base_;
     StoreState store_;
     std::vector<std::unique_ptr<cranberry::HttpServer>> servers_;
-    std::map<int, std::vector<std::weak_ptr<cranberry::HttpExchange>>> open_; ///< Of each endpoint's place.
+    std::map<int, std::vector<std::weak_ptr<cranberry::HttpExchange>>> open_; ///< By endpoint index.
     std::map<std::string, int64_t> leaving_;
-    std::array<uint32_t, EndpointCount> starts_ = {}; ///< Of each endpoint's place, after the first.
+    std::array<uint32_t, EndpointCount> starts_ = {}; ///< By endpoint index.
     std::array<int64_t, EndpointCount> startedAtMs_ = {};
     std::array<std::string, EndpointCount> versions_
         = {FirstVersion, FirstVersion, FirstVersion, FirstVersion, FirstVersion};
-    std::array<std::string, EndpointCount> limits_; ///< As named; empty: none.
-    std::map<std::string, std::string> spoiled_; ///< What another writer put in an endpoint's entry.
+    std::array<std::string, EndpointCount> limits_; ///< Rate limit per second; empty: none.
+    std::map<std::string, std::string> spoiled_; ///< By endpoint id: text that replaces its entry.
     uint64_t sequence_ = 0;
     int64_t lostReplies_ = 0;
     int64_t dropped_ = 0;
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -1,8 +1,9 @@
-// Stand-in for a model engine: streamed chat completions in the OpenAI form, several in a batch, priorities,
-// cancel by closing, continuing a final assistant message, and a prefix cache of limited memory. The answer
-// is a function of the prompt alone, so that every run of a request writes the same text and callers can
-// check the whole. Faults: down, silent, slowMs, breakAfterTokens (the connection is cut), hangAfterTokens
-// (nothing more comes), full (answers 503 "not run"), tokenMs, tokens.
+// Stand-in for a model engine: streamed chat completions in the OpenAI format, batching, priorities,
+// cancellation by closing the connection, continuation of a final assistant message, and a prefix cache of
+// limited size. The answer is a function of the prompt alone, so that every generation for a request yields
+// the same text and callers can check it completely. Faults: down, silent, slowMs, breakAfterTokens (the
+// connection is closed), hangAfterTokens (the stream stays open without further tokens), full (answers 503
+// "not run"), tokenMs, tokens.
 
 #include "standin.h"
 #include "tokens.h"
@@ -58,7 +59,8 @@
     }
 
 private:
-    // Blocks of the prompt already cached, oldest dropped first.
+    // Returns the tokens of the longest cached prefix of the prompt and caches all its blocks. The oldest
+    // blocks are evicted first.
     uint64_t cachedTokens(const std::string &prompt)
     {
         uint64_t hash = 0;
@@ -135,7 +137,7 @@
 
     int64_t tokenMs() const { return standin_.fault("tokenMs") ? standin_.fault("tokenMs") : DefaultTokenMs; }
 
-    // One decode step: a token for each of the batch that is past its prefill.
+    // Runs one decode step: one token for each generation of the batch whose prefill is complete.
     void step()
     {
         for (const GenerationPtr &generation : std::list<GenerationPtr>(batch_))
--- a/standins/plainservice.cpp
+++ b/standins/plainservice.cpp
@@ -1,7 +1,7 @@
-// Stand-in for a plain service beside the engines: answers look-ups, and runs calls that must not be
-// repeated. Each run of a call is one line in its log, so that a checker can count them. Faults: down,
-// silent, slowMs, full (answers 503 "not run"), workMs, dropAnswers (the next N calls run and the connection
-// is cut).
+// Stand-in for a plain service beside the engines: answers look-ups and runs non-idempotent calls. Each
+// execution of a call writes one log line, so that the checker can count them. Faults: down, silent, slowMs,
+// full (answers 503 "not run"), workMs, dropAnswers (the next N calls run, then their connections are
+// closed).
 
 #include "standin.h"
 
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -1,7 +1,7 @@
-// Stand-in for the platform: a key-value service that speaks etcd's published v3 JSON interface (range, txn,
-// watch, lease), and a cloud with a lagging list of instances and reclaim notices. Faults: down, silent,
-// slowMs, loseTxnAnswers (the next N writes take effect and are not answered), silentWatch (watches stay open
-// and say nothing), listLagMs.
+// Stand-in for the platform: a key-value service with etcd's published v3 JSON interface (range, txn, watch,
+// lease), and a cloud with a lagging instance list and reclaim notices. Faults: down, silent, slowMs,
+// loseTxnAnswers (the next N writes are executed but not answered), silentWatch (watches stay open but send
+// no events), listLagMs (delay until the instance list shows a state).
 
 #include "standin.h"
 
@@ -16,7 +16,7 @@
 namespace {
 
 struct Entry {
-    std::string value; ///< Base64, as it came.
+    std::string value; ///< Base64 text, stored as received.
     uint64_t modRevision = 0;
 };
 
--- a/standins/standin.cpp
+++ b/standins/standin.cpp
@@ -52,7 +52,7 @@
     if (fault("down"))
         return exchange->abort();
     if (fault("silent"))
-        return; // The connection stays open and nothing comes.
+        return; // The connection stays open without a response.
     if (fault("slowMs"))
         return after(fault("slowMs"), [this, exchange] { handler_(exchange); });
     handler_(exchange);
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -12,26 +12,26 @@
 
 using cranberry::HttpExchangePtr;
 
-/// What all stand-ins share: one thread, an HTTP server, a log of lines, and faults that are set while it
-/// runs.
+/// Common base of all stand-ins: one thread, an HTTP server, a line-based log, and faults that can be set at
+/// run time.
 class Standin
 {
 public:
     Standin(const char *program, int argc, const char **argv);
 
-    /// False if the program is to end with exitCode().
+    /// Returns false if the program must exit with exitCode().
     bool ok() const { return ok_; }
     int exitCode() const { return exitCode_; }
-    void serve(cranberry::HttpHandler handler); ///< Until SIGTERM or SIGINT.
+    void serve(cranberry::HttpHandler handler); ///< Serves requests until SIGTERM or SIGINT.
 
     boost::asio::io_context &io() { return io_; }
     const std::string &name() const { return name_; }
-    cranberry::Address address() const; ///< Of --listen.
-    void log(const std::string &line); ///< Appends to the file of --log; the checker reads it.
+    cranberry::Address address() const; ///< The address given by --listen.
+    void log(const std::string &line); ///< Appends to the --log file, which the checker reads.
     int64_t nowMs() const;
     void after(int64_t ms, std::function<void()> action);
 
-    /// A fault's value, 0 if not set. Set by POST /fault?name=N&value=V.
+    /// Returns the value of a fault, or 0 if it is not set. POST /fault?name=N&value=V sets it.
     int64_t fault(const std::string &name) const;
 
 private:
--- a/standins/storestate.h
+++ b/standins/storestate.h
@@ -14,18 +14,19 @@
     boost::json::object body;
 };
 
-/// The platform's key-value store: keys with revisions, leases, conditional writes. Values are base64 text.
+/// Implements the platform's key-value store: keys with revisions, leases and conditional writes. Values are
+/// base64 text.
 class StoreState
 {
 public:
     void put(const std::string &key, const std::string &value);
     void remove(const std::string &key);
-    /// Keys that begin with `prefix`.
+    /// Returns the keys that begin with `prefix`.
     std::vector<std::string> keys(const std::string &prefix) const;
 
-    // A store that comes back from an older copy of itself.
+    // Simulate a store that is restored from an older copy.
     void saveCopy();
-    void comeBackFromCopy(); ///< Into the next era: revisions and leases are given out again.
+    void comeBackFromCopy(); ///< Starts the next era; revisions and lease ids are issued again.
     uint64_t era() const { return era_; }
 
     StoreAnswer list(const std::string &prefix, const std::string &after, int64_t nowMs);
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -4,7 +4,8 @@
 
 using namespace cranberry;
 
-TEST_CASE("a request's story: its own lines, and what its daemons learned of its endpoints, in order")
+TEST_CASE(
+    "a request's trace has its own events and those of its endpoints at the same daemons, in order of time")
 {
     const std::vector<std::string> lines{
         R"(  2.1 entry-1 {"time_ms":2000,"instance":"entry-1","event":"send","request":"r1","endpoint":"i-1","age_ms":3})",
@@ -26,10 +27,10 @@
     CHECK(traceRequest("unknown", lines).empty());
 }
 
-TEST_CASE("the tries of one request are told together")
+TEST_CASE("all attempts of one request are traced together")
 {
-    // A request that ends engines comes again under other ids, at other daemons. From the id of one try on
-    // call must find the others, and each engine that ended under them.
+    // A request that crashes engines is retried under other ids at other daemons. The trace of one attempt
+    // must contain the other attempts and each engine that crashed under them.
     const std::vector<std::string> lines = {
         R"({"time_ms":1000,"instance":"a","event":"send","digest":"d1","request":"r0","endpoint":"m1"})",
         R"({"time_ms":1100,"instance":"a","event":"lost_with_endpoint","digest":"d1","request":"r0","endpoint":"m1"})",
@@ -42,7 +43,7 @@
     CHECK(story[2].find(" * b send") != std::string::npos);
 }
 
-TEST_CASE("a roll-out's story: its stages, and who found the version bad first")
+TEST_CASE("a roll-out's trace has its stages and the daemons that suspected the version first")
 {
     const std::vector<std::string> lines = {
         R"({"time_ms":1000,"instance":"a","event":"rollout_stage","service":"s","target":"v2","stage":"trial"})",
--- a/tools/caller.cpp
+++ b/tools/caller.cpp
@@ -146,7 +146,7 @@
     }
 }
 
-// The caller's rule: cut what is held to the event's offset, then append.
+// Truncates the received text to the event's offset, then appends: a resumed stream may repeat text.
 void CallerClient::onEvent(const std::string &event)
 {
     const size_t data = event.find("data: ");
@@ -187,7 +187,7 @@
         return;
     const bool hasId = !result_.requestId.empty();
 
-    // Step 1. Sent elsewhere, or moved.
+    // Step 1: the request was redirected, or its stream was moved to another entry.
     if (failure == HttpFailure::None && (status_ == 307 || status_ == 303 || !movedTo_.empty())) {
         ++result_.moves;
         const Address target = addressOf(movedTo_.empty() ? headerOf(headers_, "Location") : movedTo_);
@@ -195,12 +195,13 @@
             return again({1}, [self = shared_from_this()] { self->submit(); });
         return again({1}, [self = shared_from_this(), target] { self->resume(target); });
     }
-    // Step 2. A final word, or the whole.
+    // Step 2: a final error, or the complete answer.
     if (failure == HttpFailure::None && (status_ >= 400 || !errorBody_.empty()))
         return onRefused();
     if (failure == HttpFailure::None && status_ == 200 && (!job_.chat || sawDone_))
         return judge();
-    // Step 3. A broken or silent connection: read on by id, or send again what may be repeated.
+    // Step 3: the connection failed or timed out. Resumes by request id if there is one, otherwise sends the
+    // job again if a retry is safe.
     if (++failures_ > MaxFailures)
         return finish(JobOutcome::GaveUp, "connections");
     if (hasId)
--- a/tools/caller.h
+++ b/tools/caller.h
@@ -8,7 +8,7 @@
 
 namespace cranberry {
 
-/// One piece of work as a caller has it.
+/// A request that a caller wants answered.
 struct Job {
     uint64_t number = 0;
     bool chat = true;
@@ -16,9 +16,9 @@
     std::string service;
     std::string prompt; ///< Chat: the message. Plain: the body.
     std::string path; ///< Plain only.
-    uint32_t expectedTokens = 0; ///< Chat: length of the stand-in's answer, for the check.
+    uint32_t expectedTokens = 0; ///< Chat: length of the stand-in's answer, to check it.
     bool nonIdempotent = false;
-    std::string key; ///< Idempotency-Key; with a session a number.
+    std::string key; ///< Idempotency-Key; within a session a sequence number.
     std::string session;
     DurationMs deadline{60000};
 };
@@ -36,13 +36,14 @@
     uint32_t refusals = 0;
     DurationMs firstToken;
     DurationMs total;
-    Address entry; ///< The last one used.
+    Address entry; ///< Entry of the last connection.
 };
 
 const char *toText(JobOutcome outcome);
 
-/// A caller as docs/CALLERS.md describes it: asks for entries, sends, follows moves, resumes after broken
-/// connections, comes back after the time it was told, and checks the whole answer.
+/// Implements the caller described in docs/CALLERS.md: requests the entries, sends the job, follows
+/// redirects, resumes after failed connections, retries after the requested delay, and checks the complete
+/// answer.
 class CallerClient : public std::enable_shared_from_this<CallerClient>
 {
 public:
--- a/tools/checker.cpp
+++ b/tools/checker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Runs of each body, from lines "<ms> <name> run method=.. target=.. body=<body>".
+// Counts the executions of each body in log lines "<ms> <name> run method=.. target=.. body=<body>".
 std::map<std::string, uint64_t> countRuns(const std::vector<std::string> &files)
 {
     std::map<std::string, uint64_t> runs;
--- a/tools/cranberryctl.cpp
+++ b/tools/cranberryctl.cpp
@@ -15,7 +15,7 @@
 constexpr int ExitConflict = 3;
 constexpr int ExitUnsettled = 4;
 
-/// Options of all commands.
+/// Command-line options of all commands.
 struct Options {
     std::string daemon;
     std::string base;
@@ -47,7 +47,7 @@
     return fmt::format("{:016x}", value);
 }
 
-// Prints the daemon's answer; 0 if it is one.
+// Prints the daemon's response. Returns 0 if its status is below 300.
 int show(const HttpResponse &response)
 {
     if (response.failure != HttpFailure::None) {
@@ -58,7 +58,7 @@
     return response.status < 300 ? 0 : ExitFailed;
 }
 
-// Never ends in "maybe" without saying how to settle it.
+// Applies a configuration. If the outcome is unknown, prints the command that queries it.
 int apply(const CommandLine &line, const Options &options)
 {
     if (line.arguments().size() != 2)
@@ -106,7 +106,7 @@
 
 using Story = std::vector<std::string> (*)(const std::string &, const std::vector<std::string> &);
 
-// Prints the story of one thing, a request or a service, from the daemons' logs.
+// Prints the trace of a request or a service from the daemons' logs.
 int tell(const CommandLine &line, Story story, const std::string &thing)
 {
     if (line.arguments().size() < 3)
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr int PlainShare = 30; ///< Of a hundred jobs.
-constexpr int NonIdempotentShare = 50; ///< Of a hundred plain calls.
-constexpr int BareKeyShare = 20; ///< Of a hundred non-idempotent calls.
+constexpr int PlainShare = 30; ///< Percent of all jobs.
+constexpr int NonIdempotentShare = 50; ///< Percent of the plain calls.
+constexpr int BareKeyShare = 20; ///< Percent of the non-idempotent calls: key without a session.
 
 struct EntriesReply {
     std::vector<Address> entries;
@@ -57,7 +57,7 @@
     return values[index];
 }
 
-/// All jobs of one run, started by the clock and summed up.
+/// Starts the jobs of one load run at a fixed rate and summarises their results.
 class Load
 {
 public:
@@ -174,7 +174,7 @@
     std::vector<int64_t> totals_;
 };
 
-/// Small plain calls at a fixed rate, to one address; microseconds each.
+/// Sends small plain calls to one address at a fixed rate and records their latencies in microseconds.
 class Pace
 {
 public:
--- a/tools/load.h
+++ b/tools/load.h
@@ -5,11 +5,11 @@
 namespace cranberry {
 
 struct LoadOptions {
-    std::string entry; ///< Any daemon's caller address: the others are asked for.
-    std::string model; ///< Service for chat work.
+    std::string entry; ///< Caller address of any daemon, which lists the other entries.
+    std::string model; ///< Service for chat jobs.
     std::string plain; ///< Service for plain calls.
     std::string organisation;
-    std::string callerLog; ///< One line for each job, for `check`.
+    std::string callerLog; ///< File with one line for each job, read by `check`.
     int jobs = 200;
     int perSecond = 50;
     int tokens = 60;
@@ -17,10 +17,10 @@
     int promptBytes = 2000;
 };
 
-/// Sends mixed work and prints a summary; 0 if every job was answered whole.
+/// Sends a mix of chat and plain jobs and prints a summary. Returns 0 if every job got a complete answer.
 int runLoad(const LoadOptions &options);
 
-/// Latency through a daemon beside that of the endpoint called directly, in one run.
+/// Options of a run that compares the latency through a daemon with that of direct calls to the endpoint.
 struct CompareOptions {
     std::string entry;
     std::string endpoint;
--- a/tools/slopes.cpp
+++ b/tools/slopes.cpp
@@ -33,7 +33,7 @@
     double value = 0;
 };
 
-// Least squares, with the largest distance of a point from the line: its spread.
+// Prints a least-squares line and the largest residual of a point ("spread").
 void printSlope(const char *name, const char *unit, const std::vector<Point> &points)
 {
     const double n = static_cast<double>(points.size());
@@ -74,7 +74,7 @@
                        domains, list);
 }
 
-/// Daemons' cores that gossip in virtual time; every message goes through the codec, as on the wire.
+/// Simulates daemons that gossip in virtual time. Every message is encoded and decoded as on the network.
 class Cluster
 {
 public:
@@ -137,7 +137,8 @@
         messages_ = 0;
     }
 
-    /// Virtual milliseconds until `holds` is true for every live daemon; -1 if never within `limit`.
+    /// Returns the virtual milliseconds until `holds` is true for every live daemon, or -1 if that takes
+    /// `limit` or longer.
     int64_t timeUntilAll(const std::function<bool(const World &)> &holds, DurationMs limit)
     {
         const TimeMs start = now_;
--- a/tools/slopes.h
+++ b/tools/slopes.h
@@ -2,10 +2,11 @@
 
 namespace cranberry {
 
-/// Measures what each mechanism of the core costs at several sizes, and prints slopes for docs/CAPACITY.md.
+/// Measures the cost of each mechanism of the core at several sizes and prints the slopes for
+/// docs/CAPACITY.md.
 int runSlopes();
 
-/// A number that depends on the core's decisions alone: it changes only when a commit means it to.
+/// Prints a hash of the core's decisions. Only a commit that changes them on purpose may change it.
 int runSignature();
 
 } // namespace cranberry
--- a/tools/trace.cpp
+++ b/tools/trace.cpp
@@ -11,7 +11,7 @@
 
 namespace json = boost::json;
 
-/// What a daemon learned so long before a request came may explain it.
+/// Context events this long before a request's first line may explain its course.
 constexpr int64_t BeforeMs = 3000;
 constexpr int64_t AfterMs = 500;
 
@@ -21,9 +21,9 @@
     std::string event;
     std::string request;
     std::string endpoint;
-    std::string digest; ///< The same for all tries of one request.
+    std::string digest; ///< The same for all attempts of one request.
     std::string service;
-    std::string rest; ///< All other fields.
+    std::string rest; ///< All other fields, formatted for output.
 };
 
 std::string textAt(const json::object &object, const char *name)
@@ -58,7 +58,7 @@
     return true;
 }
 
-// In order of time.
+// Parses the log lines and sorts them by time.
 std::vector<LogLine> readLines(const std::vector<std::string> &lines)
 {
     std::vector<LogLine> all;
--- a/tools/trace.h
+++ b/tools/trace.h
@@ -5,15 +5,15 @@
 
 namespace cranberry {
 
-/// A request's story from the logs of any number of daemons: its own lines, and what the daemons that had it
-/// learned meanwhile of the store, the configuration and the endpoints it went to. Of other tries of the same
-/// request (equal `digest`), at any time and daemon, the lines that tell their way. In order of time, one
-/// line each: marked `*`, not marked, and `=`. Lines that are no log lines are passed over; anything before
-/// the first brace is ignored.
+/// Returns the trace of a request from the logs of any number of daemons, one line per event, in order of
+/// time: the request's own events (marked `*`); events at the daemons that handled it, at about the same
+/// time, about the store, the configuration and the endpoints it was sent to (unmarked); and events of other
+/// attempts of the same request (equal `digest`) at any time and daemon (marked `=`). Ignores lines that are
+/// not log lines, and any text before the first brace of a line.
 std::vector<std::string> traceRequest(const std::string &request, const std::vector<std::string> &lines);
 
-/// The story of a service's roll-outs from the logs of any number of daemons: the stages as the holder wrote
-/// them, with the figures of the judgement, and which daemons suspected the version before it did.
+/// Returns the trace of a service's roll-outs from the logs of any number of daemons: the stages written by
+/// the leader, with the figures of the version's evaluation, and which daemons suspected the version earlier.
 std::vector<std::string> traceRollouts(const std::string &service, const std::vector<std::string> &lines);
 
 } // namespace cranberry
