--- a/standins/deployment.cpp
+++ b/standins/deployment.cpp
@@ -1,7 +1,6 @@
 // Stand-in for a deployment on the users' platform in one process: its key-value store, three engines, two
 // plain services and the receiver of the leader tasks. The store and the receiver listen at --listen;
-// endpoint N, counted from 0, listens N + 1 ports
-// above it.
+// endpoint N, counted from 0, listens N + 1 ports above it.
 //
 // Control requests:
 //   POST /configure stores the body as the operator's configuration.
--- a/tools/checker.cpp
+++ b/tools/checker.cpp
@@ -45,13 +45,13 @@
         if (outcome == "wrong")
             breach = "a wrong answer";
         else if (kind == "any" && (outcome == "unknown" || outcome == "gaveUp"))
-            breach = "work that may be repeated was lost";
+            breach = "an idempotent job was lost";
         else if (kind == "once" && runs[body] > 1)
             breach = fmt::format("ran {} times", runs[body]);
         else if (kind == "once" && outcome == "notRun" && runs[body] > 0)
-            breach = "told not run, and ran";
+            breach = "reported as not run, but ran";
         else if (kind == "once" && outcome == "whole" && runs[body] == 0)
-            breach = "answered, and never ran";
+            breach = "answered, but never ran";
         if (breach.empty())
             continue;
         ++breaches;
--- a/tools/cranberryctl.cpp
+++ b/tools/cranberryctl.cpp
@@ -124,7 +124,7 @@
     for (const std::string &each : told)
         fmt::print("{}\n", each);
     if (told.empty())
-        fmt::print(stderr, "cranberryctl: no line of that {} in these files\n", thing);
+        fmt::print(stderr, "cranberryctl: no event of that {} in the given log files\n", thing);
     return told.empty() ? ExitFailed : 0;
 }
 
