--- a/src/daemon/configchange.cpp
+++ b/src/daemon/configchange.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr size_t RememberedChanges = 256;
+constexpr size_t MaxRetainedChangeIds = 256;
 
 } // namespace
 
@@ -46,9 +46,9 @@
     : id_(std::move(id)), text_(std::move(text)), base_(base), deadline_(deadline)
 { }
 
-void ConfigurationChange::end(Verdict verdict, Revision revision)
+void ConfigurationChange::finish(ChangeOutcome outcome, Revision revision)
 {
-    verdict_ = verdict;
+    finalOutcome_ = outcome;
     revision_ = revision;
     step_ = Step::Done;
 }
@@ -67,10 +67,10 @@
     if (!base_)
         base_ = stored.revision;
     if (stored.revision != *base_)
-        return end(Verdict::Conflict, stored.revision);
+        return finish(ChangeOutcome::Conflict, stored.revision);
     next_ = {*base_, text_, stored.changes};
     next_.changes.push_back(id_);
-    if (next_.changes.size() > RememberedChanges)
+    if (next_.changes.size() > MaxRetainedChangeIds)
         next_.changes.erase(next_.changes.begin());
     step_ = Step::Write;
 }
@@ -78,21 +78,21 @@
 void ConfigurationChange::onReadFailed(TimeMs now)
 {
     if (now >= deadline_)
-        end(Verdict::Unsettled, {});
+        finish(ChangeOutcome::Unsettled, {});
 }
 
 // If the reply to the write is lost, the write itself may still be in flight, so reading the old revision
 // does not prove that it failed. The same compare-and-swap is retried until a reply arrives: the copy that
 // arrives second fails the revision check, so the change is written at most once.
-void ConfigurationChange::onWritten(Write outcome, Revision revision, TimeMs now)
+void ConfigurationChange::onWritten(WriteResult writeResult, Revision revision, TimeMs now)
 {
-    if (outcome == Write::Held) {
+    if (writeResult == WriteResult::Applied) {
         revision_ = revision;
         step_ = Step::Confirm;
-    } else if (!isOn(Safeguard::ReadBackLostAnswer)) {
-        end(Verdict::Conflict, revision);
-    } else if (outcome == Write::Lost && now >= deadline_) {
-        end(Verdict::Unsettled, {});
+    } else if (!isOn(Safeguard::ReadBackAfterLostReply)) {
+        finish(ChangeOutcome::Conflict, revision);
+    } else if (writeResult == WriteResult::ReplyLost && now >= deadline_) {
+        finish(ChangeOutcome::Unsettled, {});
     } else {
         step_ = Step::Read;
     }
@@ -101,9 +101,9 @@
 void ConfigurationChange::onConfirm(bool confirmed, TimeMs now)
 {
     if (confirmed)
-        end(Verdict::Accepted, revision_);
+        finish(ChangeOutcome::Accepted, revision_);
     else if (now >= deadline_)
-        end(Verdict::Unconfirmed, revision_);
+        finish(ChangeOutcome::Unconfirmed, revision_);
 }
 
 } // namespace cranberry
--- a/src/daemon/configchange.h
+++ b/src/daemon/configchange.h
@@ -21,20 +21,20 @@
 {
 public:
     enum class Step : uint8_t { Read, Write, Confirm, Done };
-    enum class Verdict : uint8_t {
+    enum class ChangeOutcome : uint8_t {
         Accepted, ///< Written, and in force at daemons in enough failure domains.
         Conflict, ///< Another change was written first; this one was not written.
         Unsettled, ///< Result unknown at the deadline; can be looked up later by the change's id.
         Unconfirmed ///< Written, but not confirmed by enough other failure domains before the deadline.
     };
-    enum class Write : uint8_t { Held, Failed, Lost };
+    enum class WriteResult : uint8_t { Applied, NotApplied, ReplyLost };
 
     /// `base` is the revision that the operator edited. If unset, the change applies to the
     /// revision of the first read.
     ConfigurationChange(std::string id, std::string text, std::optional<Revision> base, TimeMs deadline);
 
     Step step() const { return step_; }
-    Verdict verdict() const { return verdict_; }
+    ChangeOutcome finalOutcome() const { return finalOutcome_; }
     /// Accepted: the new revision. Conflict: the current revision in the store.
     Revision revision() const { return revision_; }
     /// The value to write; its revision is the expected revision of the compare-and-swap.
@@ -42,18 +42,18 @@
 
     void onRead(const StoredConfiguration &stored);
     void onReadFailed(TimeMs now);
-    void onWritten(Write outcome, Revision revision, TimeMs now);
+    void onWritten(WriteResult writeResult, Revision revision, TimeMs now);
     void onConfirm(bool confirmed, TimeMs now);
 
 private:
-    void end(Verdict verdict, Revision revision);
+    void finish(ChangeOutcome outcome, Revision revision);
 
     std::string id_;
     std::string text_;
     std::optional<Revision> base_;
     TimeMs deadline_;
     Step step_ = Step::Read;
-    Verdict verdict_ = Verdict::Unsettled;
+    ChangeOutcome finalOutcome_ = ChangeOutcome::Unsettled;
     Revision revision_;
     StoredConfiguration next_;
 };
--- a/src/daemon/configuration.cpp
+++ b/src/daemon/configuration.cpp
@@ -25,7 +25,7 @@
     return endpoint;
 }
 
-ServiceKind kindFrom(FieldReader &reader, const std::string &text)
+ServiceKind parseServiceKind(FieldReader &reader, const std::string &text)
 {
     if (text != "model" && text != "plain")
         reader.fail("kind", "must be model or plain");
@@ -53,7 +53,7 @@
     for (const std::pair<const json::value *, std::string> &element : reader.elements("endpoints", true))
         service.endpoints.push_back(parseEndpoint(reader, *element.first, element.second));
     if (reader.ok())
-        service.kind = kindFrom(reader, kind);
+        service.kind = parseServiceKind(reader, kind);
     if (const FieldError *error = reader.finish())
         parent.setError(*error);
     return service;
@@ -95,10 +95,10 @@
 // reaching a service in state 1 again closes a cycle.
 bool hasCycle(const Configuration &configuration, const ServiceName &name, std::map<std::string, int> &state)
 {
-    int &mark = state[name.value];
-    if (mark != 0)
-        return mark == 1;
-    mark = 1;
+    int &nodeState = state[name.value];
+    if (nodeState != 0)
+        return nodeState == 1;
+    nodeState = 1;
     const Service *service = configuration.findService(name);
     for (const ServiceName &next : service->dependsOn) {
         if (hasCycle(configuration, next, state))
--- a/src/daemon/counters.h
+++ b/src/daemon/counters.h
@@ -9,7 +9,7 @@
 enum class Counter : uint8_t {
     Submitted,
     Accepted,
-    AnsweredWhole,
+    AnsweredFully,
     Resumed,
     Claimed, ///< Requests taken over from a witness copy after their owner was lost.
     HandedOver,
@@ -17,7 +17,7 @@
     RecomputedTokens, ///< Prompt and generated tokens that an engine had to recompute.
     CachedTokens,
     WitnessMissing, ///< Requests accepted while no other daemon could hold the copy.
-    SentElsewhere,
+    SentToOtherDaemon,
     GossipSent,
     FalseSuspicion, ///< A member that was considered down sent a message again.
     ConfigurationsSeen,
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -8,7 +8,7 @@
 class Daemon
 {
 public:
-    explicit Daemon(const Identity &identity) : world_(identity) { }
+    explicit Daemon(const DaemonOptions &options) : world_(options) { }
 
     /// Handles one event at `now` and returns the actions to perform.
     std::vector<Action> step(TimeMs now, const Event &event);
--- a/src/daemon/dispatch.cpp
+++ b/src/daemon/dispatch.cpp
@@ -9,11 +9,11 @@
 
 constexpr uint32_t MaxTries = 6;
 constexpr double ServiceMsWeight = 0.05;
-constexpr DurationMs WitnessLinger{5000};
-constexpr int64_t PercentOfNoticeToStay = 60;
+constexpr DurationMs WitnessRetention{5000};
+constexpr int64_t PercentBeforeMove = 60;
 constexpr DurationMs BatchAgeing{2000};
 /// Attempts of one request that crash an endpoint together see the crash within milliseconds of each other.
-constexpr int64_t OneEndMs = 1000;
+constexpr int64_t CrashWindowMs = 1000;
 
 Request *findByAttempt(World &world, AttemptId attempt)
 {
@@ -33,29 +33,29 @@
 
 // Starts an attempt on the chosen endpoint. The engine continues from the text generated so far.
 void startAttempt(World &world, Request &request, const Service &service, uint32_t index,
-                  const RoutingQuestion &question)
+                  const RoutingQuery &query)
 {
     const Endpoint &endpoint = world.endpoints.at(index).endpoint;
-    world.endpoints.started(index, question);
+    world.endpoints.started(index, query);
     if (!request.spec->idempotent)
         request.once.dispatched();
     request.phase = RequestPhase::Running;
     request.attempt = {world.nextAttempt++};
     request.endpoint = endpoint.name;
-    request.askedAt = world.now;
-    request.moveAt.reset();
+    request.lastSentAt = world.now;
+    request.moveDueAt.reset();
     world.attempts[request.attempt] = request.id;
     if (!request.text.empty())
         world.counters.add(Counter::RecomputedTokens,
                            predictedTokens(request.spec->prompt) + request.generatedTokens);
-    world.out.push_back(StartAttempt{request.attempt, endpoint.name, endpoint.address, service.kind,
-                                     request.spec, request.text, request.generatedTokens,
-                                     service.progressTimeout});
+    world.actions.push_back(StartAttempt{request.attempt, endpoint.name, endpoint.address, service.kind,
+                                         request.spec, request.text, request.generatedTokens,
+                                         service.progressTimeout});
 }
 
 Outcome outcomeOf(const Request &request)
 {
-    return request.maybeRan || request.attempt.value ? Outcome::Unknown : Outcome::NotRun;
+    return request.possiblyRan || request.attempt.value ? Outcome::Unknown : Outcome::NotRun;
 }
 
 bool isQuarantined(const World &world, const Request &request)
@@ -75,10 +75,10 @@
 // crashes without an answer are sufficient for the quarantine, because endpoints that only break connections
 // or exit for other reasons complete the request in between. An endpoint keeps its name when it restarts, so
 // its incarnations are distinguished by the time of the crash.
-void noteEndpointEnded(World &world, const Request &request)
+void recordEndpointCrash(World &world, const Request &request)
 {
-    const EndpointIncarnation life{{request.endpoint.value}, {world.now.count / OneEndMs}};
-    world.suspects.recordCrash({request.digest, life, !request.text.empty()}, world.now);
+    const EndpointIncarnation incarnation{{request.endpoint.value}, {world.now.count / CrashWindowMs}};
+    world.suspects.recordCrash({request.digest, incarnation, !request.text.empty()}, world.now);
 }
 
 // Returns true if the request no longer belongs in the queue.
@@ -96,21 +96,20 @@
         giveUpQuarantined(world, request);
         return true;
     }
-    const RoutingQuestion question{*service, world.configuration->weights,
-                                   PrefixIndex::blockHashes(request.spec->prompt), request.workTokens,
-                                   request.avoid};
-    const std::optional<uint32_t> index
-        = world.endpoints.choose(question, world.marks, world.now, world.random);
+    const RoutingQuery query{*service, world.configuration->weights,
+                             PrefixIndex::blockHashes(request.spec->prompt), request.workTokens,
+                             request.avoidEndpoint};
+    const std::optional<uint32_t> index = world.endpoints.choose(query, world.marks, world.now, world.random);
     if (!index)
         return false;
-    startAttempt(world, request, *service, *index, question);
+    startAttempt(world, request, *service, *index, query);
     return true;
 }
 
 void waitForRetry(World &world, Request &request)
 {
     const uint64_t ceiling = static_cast<uint64_t>(backoffCeiling(request.tries).count);
-    request.phase = RequestPhase::Waiting;
+    request.phase = RequestPhase::BackingOff;
     request.retryAt = world.now + DurationMs{static_cast<int64_t>(world.random.below(ceiling))};
 }
 
@@ -120,14 +119,14 @@
 void retryLater(World &world, Request &request, RetryReason reason)
 {
     world.counters.add(reason);
-    const bool free = reason == RetryReason::EndpointLeaving;
-    if (!free && ++request.tries >= MaxTries)
+    const bool withoutBudget = reason == RetryReason::EndpointLeaving;
+    if (!withoutBudget && ++request.tries >= MaxTries)
         return giveUp(world, request,
                       {outcomeOf(request), RefusalReason::RetriesExhausted, backoffCeiling(MaxTries)});
-    request.owesRetry = !free;
-    if (!free)
+    request.needsRetryBudget = !withoutBudget;
+    if (!withoutBudget)
         return waitForRetry(world, request);
-    request.phase = RequestPhase::Waiting;
+    request.phase = RequestPhase::BackingOff;
     request.retryAt = world.now;
 }
 
@@ -135,7 +134,7 @@
 // the request if the owner crashes while the answer is on its way and the caller resumes elsewhere.
 void tickClosed(World &world, Request &request)
 {
-    if (request.witnessDropped || !request.witness || world.now - request.endedAt < WitnessLinger)
+    if (request.witnessDropped || !request.witness || world.now - request.endedAt < WitnessRetention)
         return;
     request.witnessDropped = true;
     sendTo(world, request.witness, WitnessDrop{request.id});
@@ -151,7 +150,7 @@
     case FailurePhase::Silent:
         return RetryReason::SilentStream;
     case FailurePhase::AfterSend:
-    case FailurePhase::Ended:
+    case FailurePhase::EndpointExited:
         break;
     }
     return RetryReason::BrokenStream;
@@ -164,20 +163,20 @@
 void enqueue(World &world, Request &request)
 {
     request.phase = RequestPhase::Queued;
-    auto place = world.queue.end();
+    auto queuePosition = world.queue.end();
     if (request.spec->workClass == WorkClass::Interactive) {
-        place = std::find_if(world.queue.begin(), world.queue.end(), [&world](const RequestId &id) {
+        queuePosition = std::find_if(world.queue.begin(), world.queue.end(), [&world](const RequestId &id) {
             auto found = world.requests.find(id);
             return found != world.requests.end() && found->second.spec->workClass == WorkClass::Batch
                 && world.now - found->second.arrivedAt < BatchAgeing;
         });
     }
-    world.queue.insert(place, request.id);
+    world.queue.insert(queuePosition, request.id);
 }
 
-void runQueue(World &world)
+void dispatchQueue(World &world)
 {
-    if (!world.configuration || world.now < world.holdUntil)
+    if (!world.configuration || world.now < world.dispatchPausedUntil)
         return;
     std::deque<RequestId> waiting;
     waiting.swap(world.queue);
@@ -194,8 +193,8 @@
 {
     if (!request.attempt.value)
         return;
-    world.out.push_back(CancelAttempt{request.attempt});
-    request.maybeRan = true;
+    world.actions.push_back(CancelAttempt{request.attempt});
+    request.possiblyRan = true;
     closeAttempt(world, request);
 }
 
@@ -214,10 +213,10 @@
     Request *request = findByAttempt(world, event.attempt);
     if (!request)
         return;
-    const double took = static_cast<double>((world.now - request->askedAt).count);
-    world.serviceMs += ServiceMsWeight * (took - world.serviceMs);
+    const double elapsedMs = static_cast<double>((world.now - request->lastSentAt).count);
+    world.meanAttemptMs += ServiceMsWeight * (elapsedMs - world.meanAttemptMs);
     world.endpoints.succeeded(request->endpoint);
-    world.retries.succeeded();
+    world.retryBudget.succeeded();
     world.suspects.recordAnswer(request->digest, world.now);
     world.counters.add(Counter::CachedTokens, event.cachedTokens);
     closeAttempt(world, *request);
@@ -226,10 +225,10 @@
     request->endedAt = world.now;
     request->end = {event.status, event.contentType, event.finishReason, request->text.size(),
                     digestOf(request->text)};
-    noteFinished(world, *request);
+    reportFinished(world, *request);
     acceptIfSafe(world, *request);
     deliver(world, *request);
-    runQueue(world);
+    dispatchQueue(world);
 }
 
 // If the connection breaks after the request was sent, a resend could run it twice (for example, file a
@@ -240,29 +239,29 @@
     Request *request = findByAttempt(world, event.attempt);
     if (!request)
         return;
-    const bool proved = event.phase == FailurePhase::NotSent || event.phase == FailurePhase::SaidNotRun;
+    const bool notRunProved = event.phase == FailurePhase::NotSent || event.phase == FailurePhase::SaidNotRun;
     world.endpoints.failed(request->endpoint, world.now);
-    if (event.phase == FailurePhase::Ended)
-        noteEndpointEnded(world, *request);
+    if (event.phase == FailurePhase::EndpointExited)
+        recordEndpointCrash(world, *request);
     closeAttempt(world, *request);
-    request->avoid = request->endpoint;
-    if (proved) {
+    request->avoidEndpoint = request->endpoint;
+    if (notRunProved) {
         request->once.provedNotRun();
     } else {
-        request->maybeRan = true;
+        request->possiblyRan = true;
     }
-    const bool mayRepeat = request->spec->idempotent || proved || !isOn(Safeguard::NoResendAfterSend);
-    if (!mayRepeat) {
+    const bool mayRetry = request->spec->idempotent || notRunProved || !isOn(Safeguard::NoResendAfterSend);
+    if (!mayRetry) {
         request->once.giveUp();
-        conclude(world, *request, {Outcome::Unknown, RefusalReason::EndpointFailed, DurationMs{0}});
+        endWithRefusal(world, *request, {Outcome::Unknown, RefusalReason::EndpointFailed, DurationMs{0}});
     } else if (isQuarantined(world, *request)) {
         giveUpQuarantined(world, *request);
     } else {
-        if (!proved && !request->spec->idempotent)
+        if (!notRunProved && !request->spec->idempotent)
             request->once.provedNotRun(); // Reached only when the safeguard is disabled.
         retryLater(world, *request, reasonOf(event.phase));
     }
-    runQueue(world);
+    dispatchQueue(world);
 }
 
 // Called when an endpoint is about to leave. Idempotent requests stay for PercentBeforeMove of the notice,
@@ -276,7 +275,7 @@
             continue;
         const std::optional<uint32_t> index = world.endpoints.find(request.endpoint);
         if (index && world.endpoints.at(*index).endpoint.instance == instance)
-            request.moveAt = world.now + notice * PercentOfNoticeToStay / 100;
+            request.moveDueAt = world.now + notice * PercentBeforeMove / 100;
     }
 }
 
@@ -305,20 +304,21 @@
             continue;
         }
         tickOnce(world, request);
-        if (request.phase == RequestPhase::Waiting && world.now >= request.retryAt) {
-            if (request.owesRetry && !world.retries.take()) {
+        if (request.phase == RequestPhase::BackingOff && world.now >= request.retryAt) {
+            if (request.needsRetryBudget && !world.retryBudget.take()) {
                 waitForRetry(world, request);
                 continue;
             }
-            request.owesRetry = false;
+            request.needsRetryBudget = false;
             enqueue(world, request);
-        } else if (request.phase == RequestPhase::Running && request.moveAt && world.now >= *request.moveAt) {
+        } else if (request.phase == RequestPhase::Running && request.moveDueAt
+                   && world.now >= *request.moveDueAt) {
             cancelAttempt(world, request);
             retryLater(world, request, RetryReason::EndpointLeaving);
         }
     }
     // Step 2. Dispatch requests that became due or for which slots became free.
-    runQueue(world);
+    dispatchQueue(world);
 }
 
 } // namespace cranberry
--- a/src/daemon/drain.cpp
+++ b/src/daemon/drain.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-constexpr int64_t PercentOfNoticeToStay = 40;
-constexpr DurationMs LastWords{300}; ///< Reserved at the end of a notice for sending final replies.
-constexpr DurationMs SuccessorPatience{300};
-constexpr DurationMs CopyPatience{150};
-constexpr DurationMs QuietBeforeStop{800}; ///< Time for the marks to reach the other daemons.
+constexpr int64_t HandoverDelayPercent = 40;
+constexpr DurationMs FinalAnswerReserve{300}; ///< Reserved at the end of a notice for sending final replies.
+constexpr DurationMs SuccessorTimeout{300};
+constexpr DurationMs CopyRetryInterval{150};
+constexpr DurationMs IdleBeforeStop{800}; ///< Time for the marks to reach the other daemons.
 
 // Chooses another successor. Called again while none has confirmed the register, and afterwards only if the
 // successor must be replaced.
 bool chooseSuccessor(World &world)
 {
-    const Member *successor = pickElsewhere(world, world.drain.successor);
+    const Member *successor = pickRemoteMember(world, world.drain.successor);
     if (!successor)
         return false;
     world.drain.successor = successor->info.incarnation;
@@ -25,15 +25,15 @@
     return true;
 }
 
-void moveRegister(World &world)
+void transferRegister(World &world)
 {
     Drain &drain = world.drain;
     if (drain.registerMoved)
         return;
-    const bool due = !drain.successor || world.now - drain.successorAskedAt > SuccessorPatience;
+    const bool due = !drain.successor || world.now - drain.registerSentAt > SuccessorTimeout;
     if (!due || !chooseSuccessor(world))
         return;
-    drain.successorAskedAt = world.now;
+    drain.registerSentAt = world.now;
     sendTo(world, drain.successor, RegisterTransfer{world.onceRegister.seal()});
 }
 
@@ -48,7 +48,7 @@
                                      [](const std::pair<const RequestId, Request> &entry) {
                                          return entry.second.phase == RequestPhase::Moving;
                                      });
-    return waiting && world.now - std::max(drain.successorChosenAt, drain.handoverAt) > SuccessorPatience;
+    return waiting && world.now - std::max(drain.successorChosenAt, drain.handoverAt) > SuccessorTimeout;
 }
 
 bool mustMove(const Request &request)
@@ -70,14 +70,14 @@
             request.phase = RequestPhase::Moving;
             sendHandover(world, request, world.drain.successor);
         } else if (mustMove(request) || request.phase == RequestPhase::Moving) {
-            if (world.now - request.askedAt > CopyPatience)
+            if (world.now - request.lastSentAt > CopyRetryInterval)
                 sendHandover(world, request, world.drain.successor);
         }
     }
     const Member *successor = world.members.find(world.drain.successor);
     for (const std::pair<const CallerId, Follower> &entry : world.followers) {
         if (successor)
-            world.out.push_back(
+            world.actions.push_back(
                 CallerMoved{entry.first, entry.second.request, successor->info.callerAddress});
     }
     if (successor)
@@ -87,14 +87,14 @@
 // Forwards the witness copies to the successor, to which the DaemonMoved mark directs later fetches.
 // Otherwise a request is lost if its owner crashes and its witness leaves before a caller fetches the
 // request.
-void passOnWitnessed(World &world)
+void forwardWitnessCopies(World &world)
 {
     Drain &drain = world.drain;
-    if (!drain.registerMoved || world.now - drain.witnessedSentAt < CopyPatience)
+    if (!drain.registerMoved || world.now - drain.witnessCopiesSentAt < CopyRetryInterval)
         return;
-    drain.witnessedSentAt = world.now;
+    drain.witnessCopiesSentAt = world.now;
     const Incarnation successor = world.onceRegister.successor();
-    for (const std::pair<const RequestId, WitnessRecord> &entry : world.witnessed) {
+    for (const std::pair<const RequestId, WitnessRecord> &entry : world.witnessRecords) {
         RequestCopy copy = entry.second.copy;
         copy.owner = entry.second.owner;
         copy.spec.deadline
@@ -117,15 +117,15 @@
 bool leaveToWitness(World &world, Request &request)
 {
     const Member *witness = world.members.find(request.witness);
-    if (!request.spec->idempotent || !request.witnessed || !witness)
+    if (!request.spec->idempotent || !request.witnessConfirmed || !witness)
         return false;
     cancelAttempt(world, request);
     for (const Listener &listener : request.listeners)
-        world.out.push_back(CallerMoved{listener.caller, request.id, witness->info.callerAddress});
+        world.actions.push_back(CallerMoved{listener.caller, request.id, witness->info.callerAddress});
     request.listeners.clear();
     request.phase = RequestPhase::Moved;
     request.successor = request.witness;
-    request.heldBy = request.id;
+    request.holderRequest = request.id;
     request.endedAt = world.now;
     return true;
 }
@@ -133,7 +133,7 @@
 // Ends the requests that are still open when the notice expires and no successor acknowledged them.
 // Idempotent work is left to its witness; for the rest the callers receive outcome Unknown instead of a
 // broken connection.
-void lastWords(World &world)
+void endOpenRequests(World &world)
 {
     std::vector<RequestId> open;
     for (const std::pair<const RequestId, Request> &entry : world.requests) {
@@ -143,7 +143,7 @@
     for (const RequestId &id : open) {
         Request &request = world.requests.at(id);
         if (!leaveToWitness(world, request))
-            conclude(world, request, {Outcome::Unknown, RefusalReason::OwnerGone, DurationMs{0}});
+            endWithRefusal(world, request, {Outcome::Unknown, RefusalReason::OwnerGone, DurationMs{0}});
     }
 }
 
@@ -152,7 +152,7 @@
     if (world.drain.stopped)
         return;
     world.drain.stopped = true;
-    world.out.push_back(Stopped{});
+    world.actions.push_back(Stopped{});
 }
 
 } // namespace
@@ -161,16 +161,16 @@
 {
     Drain &drain = world.drain;
     const TimeMs endsAt
-        = world.now + (notice ? std::max(DurationMs{0}, *notice - LastWords) : world.drainLimit);
+        = world.now + (notice ? std::max(DurationMs{0}, *notice - FinalAnswerReserve) : world.drainLimit);
     if (drain.active && endsAt >= drain.endsAt)
         return;
     drain.active = true;
     drain.endsAt = endsAt;
-    drain.handoverAt = notice ? world.now + *notice * PercentOfNoticeToStay / 100 : endsAt;
-    drain.quietSince = world.now;
+    drain.handoverAt = notice ? world.now + *notice * HandoverDelayPercent / 100 : endsAt;
+    drain.idleSince = world.now;
     addMark(world, {MarkKind::DaemonLeaving, {}, world.self(), {}}, {});
-    world.gossipAt = world.now; // Sends the mark at once instead of at the next round.
-    moveRegister(world);
+    world.nextGossipAt = world.now; // Sends the mark at once instead of at the next round.
+    transferRegister(world);
 }
 
 void tickDrain(World &world)
@@ -178,8 +178,8 @@
     Drain &drain = world.drain;
     if (!drain.active || drain.stopped)
         return;
-    moveRegister(world);
-    passOnWitnessed(world);
+    transferRegister(world);
+    forwardWitnessCopies(world);
     if (drain.registerMoved && needsAnotherSuccessor(world))
         chooseSuccessor(world); // For requests only: the DaemonMoved mark of the register is written once.
     if (world.now >= drain.handoverAt && drain.successor && isOn(Safeguard::HandoverOnReclaim))
@@ -187,10 +187,10 @@
 
     const bool alone = world.members.aliveCount() == 0;
     if (hasOpenWork(world) || (!drain.registerMoved && !alone))
-        drain.quietSince = world.now;
+        drain.idleSince = world.now;
     if (world.now >= drain.endsAt)
-        lastWords(world);
-    if (world.now >= drain.endsAt || world.now - drain.quietSince >= QuietBeforeStop)
+        endOpenRequests(world);
+    if (world.now >= drain.endsAt || world.now - drain.idleSince >= IdleBeforeStop)
         stop(world);
 }
 
--- a/src/daemon/gossip.cpp
+++ b/src/daemon/gossip.cpp
@@ -9,23 +9,24 @@
 
 constexpr DurationMs GossipInterval{200};
 constexpr size_t MarksPerGossip = 32;
-constexpr uint64_t RoundsUntilFullMarks = 15;
-constexpr DurationMs MarkedEndpointNotice{1500}; ///< Assumed if a peer's mark carries no notice.
+constexpr uint64_t MismatchesUntilFullMarks = 15;
+constexpr DurationMs AssumedMarkNotice{1500}; ///< Assumed if a peer's mark carries no notice.
 constexpr size_t ConfirmingDomains = 2;
 constexpr size_t WatchersPerDomain = 2;
 constexpr size_t PushesPerChange = 3;
-constexpr uint64_t FirstRounds = 10; ///< Rounds after the start in which the full member list is requested.
+constexpr uint64_t FullMemberListRounds
+    = 10; ///< Rounds after the start in which the full member list is requested.
 
 Gossip makeGossip(World &world)
 {
     Gossip gossip;
     gossip.sender = world.members.self();
-    gossip.members = world.members.news(world.random);
-    gossip.suspicions = world.members.suspicions();
-    gossip.marks = world.marks.takeHot(MarksPerGossip, world.now);
+    gossip.members = world.members.update(world.random);
+    gossip.suspicions = world.members.takeSuspicions();
+    gossip.marks = world.marks.takePending(MarksPerGossip, world.now);
     gossip.markDigest = world.marks.digest();
-    gossip.wantsMarks = world.marksUnequal > RoundsUntilFullMarks;
-    gossip.wantsMembers = world.gossipRounds < FirstRounds;
+    gossip.wantsMarks = world.markDigestMismatches > MismatchesUntilFullMarks;
+    gossip.wantsMembers = world.gossipRounds < FullMemberListRounds;
     return gossip;
 }
 
@@ -33,13 +34,14 @@
 
 void tickGossip(World &world)
 {
-    if (world.now < world.gossipAt)
+    if (world.now < world.nextGossipAt)
         return;
-    world.gossipAt = world.now + GossipInterval;
+    world.nextGossipAt = world.now + GossipInterval;
     world.members.tick(world.now);
-    for (const std::pair<Incarnation, Address> &target : world.members.targets(world.random, world.now)) {
+    for (const std::pair<Incarnation, Address> &target :
+         world.members.probeTargets(world.random, world.now)) {
         world.counters.add(Counter::GossipSent);
-        world.out.push_back(SendPeer{target.first, target.second, makeGossip(world)});
+        world.actions.push_back(SendPeer{target.first, target.second, makeGossip(world)});
     }
     ++world.gossipRounds;
 }
@@ -47,20 +49,20 @@
 void onGossip(World &world, Incarnation from, const Gossip &gossip)
 {
     // Step 1. The sender is known to be alive; the other entries are second-hand and only merged.
-    world.members.heardFrom(gossip.sender, world.now, world.counters);
+    world.members.recordContact(gossip.sender, world.now, world.counters);
     for (const MemberInfo &info : gossip.members)
         world.members.merge(info, world.now, world.counters);
     for (const Suspicion &suspicion : gossip.suspicions)
         world.members.suspect(suspicion, world.now);
-    for (const MarkNews &news : gossip.marks)
-        addMark(world, news.mark, news.notice.count > 0 ? news.notice : MarkedEndpointNotice);
+    for (const MarkUpdate &news : gossip.marks)
+        addMark(world, news.mark, news.notice.count > 0 ? news.notice : AssumedMarkNotice);
 
     // Step 2. Each mark is sent a bounded number of times, so a daemon can miss one permanently. The digests
     // reveal the difference, and after several mismatches the full set is requested.
     if (gossip.markDigest == world.marks.digest())
-        world.marksUnequal = 0;
+        world.markDigestMismatches = 0;
     else
-        ++world.marksUnequal;
+        ++world.markDigestMismatches;
 
     // Step 3. Replies to a probe, with the full sets if they were requested.
     if (gossip.sender.revision > world.revision)
@@ -72,7 +74,7 @@
     if (gossip.wantsMarks)
         reply.marks = world.marks.all(world.now);
     if (gossip.wantsMembers)
-        reply.members = world.members.everyone();
+        reply.members = world.members.aliveInfos();
     world.counters.add(Counter::GossipSent);
     sendTo(world, from, std::move(reply));
 }
@@ -89,7 +91,7 @@
         moveOffEndpoint(world, mark.instance, notice);
 }
 
-const Member *pickElsewhere(World &world, Incarnation except)
+const Member *pickRemoteMember(World &world, Incarnation except)
 {
     std::vector<const Member *> others;
     std::vector<const Member *> sameDomain;
@@ -117,11 +119,11 @@
 {
     if (revision == world.revision)
         return;
-    if (revision < world.revision && isOn(Safeguard::RevisionOnlyGrows)) {
+    if (revision < world.revision && isOn(Safeguard::MonotonicRevision)) {
         world.counters.add(Counter::StaleConfiguration);
         return;
     }
-    const bool grew = revision > world.revision;
+    const bool isNewer = revision > world.revision;
     ConfigurationPtr parsed;
     boost::leaf::try_handle_all(
         [&]() -> Result<void> {
@@ -138,18 +140,18 @@
     world.members.setRevision(revision);
     world.endpoints.configure(*parsed);
     world.counters.add(Counter::ConfigurationsSeen);
-    world.out.push_back(ConfigurationInForce{revision});
+    world.actions.push_back(ConfigurationInForce{revision});
 
     // Pushed to a few members at once instead of at the next round: they confirm it and push it further.
-    if (!grew)
+    if (!isNewer)
         return;
-    for (const Member *member : world.members.someAlive(PushesPerChange, world.random))
+    for (const Member *member : world.members.randomAlive(PushesPerChange, world.random))
         sendTo(world, member->info.incarnation, ConfigurationPush{revision, text});
 }
 
 void onConfigurationHave(World &world, Incarnation from, const ConfigurationHave &have)
 {
-    world.members.heardRevision(from, have.revision);
+    world.members.recordRevision(from, have.revision);
     if (world.revision > have.revision)
         sendTo(world, from, ConfigurationPush{world.revision, world.configurationText});
     else if (have.revision > world.revision)
--- a/src/daemon/io/adminapi.cpp
+++ b/src/daemon/io/adminapi.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr DurationMs ChangeLimit{8000};
-constexpr DurationMs RepeatPause{100};
+constexpr DurationMs ChangeTimeout{8000};
+constexpr DurationMs ReadRetryInterval{100};
 constexpr const char *ChangesPath = "/admin/changes/";
 
 void respondJson(const HttpExchangePtr &exchange, int status, const json::value &body)
@@ -28,7 +28,7 @@
 }
 
 // Returns an error message if the configuration text is invalid, otherwise an empty string.
-std::string checkText(const std::string &text)
+std::string configurationError(const std::string &text)
 {
     return boost::leaf::try_handle_all(
         [&]() -> Result<std::string> {
@@ -40,8 +40,8 @@
 
 } // namespace
 
-struct AdminApi::Running {
-    Running(HttpExchangePtr exchange, ConfigurationChange change, std::string id)
+struct AdminApi::PendingChange {
+    PendingChange(HttpExchangePtr exchange, ConfigurationChange change, std::string id)
         : exchange(std::move(exchange)), change(std::move(change)), id(std::move(id))
     { }
 
@@ -54,7 +54,7 @@
 {
     const HttpRequest &request = exchange->request();
     const HttpTarget target = parseTarget(request.target);
-    const bool get = request.method == "GET";
+    const bool isGet = request.method == "GET";
     if (target.path == "/healthz")
         return exchange->respond(200, {}, "ok\n");
     if (target.path == "/readyz") {
@@ -64,17 +64,17 @@
     }
     if (target.path == "/metrics")
         return exchange->respond(200, {{"Content-Type", "text/plain; version=0.0.4"}}, server_.metrics());
-    if (target.path == "/admin/configuration" && get)
+    if (target.path == "/admin/configuration" && isGet)
         return getConfiguration(exchange);
     if (target.path == "/admin/configuration" && request.method == "PUT")
         return putConfiguration(exchange, target);
     if (target.path == "/admin/diff" && request.method == "POST")
         return diff(exchange);
-    if (target.path.starts_with(ChangesPath) && get)
+    if (target.path.starts_with(ChangesPath) && isGet)
         return getChange(exchange, target.path.substr(std::string(ChangesPath).size()));
-    if (target.path == "/admin/status" && get)
+    if (target.path == "/admin/status" && isGet)
         return getStatus(exchange);
-    if (target.path == "/admin/requests" && get)
+    if (target.path == "/admin/requests" && isGet)
         return getRequests(exchange);
     if (target.path == "/admin/drain" && request.method == "POST")
         return drain(exchange, target);
@@ -90,9 +90,9 @@
 
 void AdminApi::diff(const HttpExchangePtr &exchange)
 {
-    const std::string wrong = checkText(exchange->request().body);
-    if (!wrong.empty())
-        return exchange->respond(400, {}, wrong + "\n");
+    const std::string problem = configurationError(exchange->request().body);
+    if (!problem.empty())
+        return exchange->respond(400, {}, problem + "\n");
     std::string out;
     for (const std::string &line :
          diffConfigurations(server_.daemon_.world().configurationText, exchange->request().body))
@@ -106,53 +106,53 @@
     const std::string base = headerOf(target.query, "base");
     if (id.empty())
         return respondJson(exchange, 400, json::object{{"error", "query field change is missing"}});
-    const std::string wrong = checkText(exchange->request().body);
-    if (!wrong.empty())
-        return respondJson(exchange, 400, json::object{{"error", wrong}});
+    const std::string problem = configurationError(exchange->request().body);
+    if (!problem.empty())
+        return respondJson(exchange, 400, json::object{{"error", problem}});
     std::optional<Revision> revision;
     if (!base.empty())
         revision = Revision{std::strtoull(base.c_str(), nullptr, 10)};
-    advance(std::make_shared<Running>(
-        exchange, ConfigurationChange(id, exchange->request().body, revision, server_.now() + ChangeLimit),
+    advance(std::make_shared<PendingChange>(
+        exchange, ConfigurationChange(id, exchange->request().body, revision, server_.now() + ChangeTimeout),
         id));
 }
 
 // Performs the next step of the change, passes the result to it and continues until it is done or waits for
 // confirmation.
-void AdminApi::advance(const RunningPtr &running)
+void AdminApi::advance(const PendingChangePtr &pending)
 {
-    ConfigurationChange &change = running->change;
+    ConfigurationChange &change = pending->change;
     switch (change.step()) {
     case ConfigurationChange::Step::Read:
         server_.platform_.readConfiguration([this,
-                                             running](const std::optional<StoredConfiguration> &stored) {
+                                             pending](const std::optional<StoredConfiguration> &stored) {
             if (stored) {
-                running->change.onRead(*stored);
-                return advance(running);
+                pending->change.onRead(*stored);
+                return advance(pending);
             }
-            running->change.onReadFailed(server_.now());
+            pending->change.onReadFailed(server_.now());
             std::shared_ptr<boost::asio::steady_timer> timer = std::make_shared<boost::asio::steady_timer>(
-                server_.io_, std::chrono::milliseconds(RepeatPause.count));
+                server_.io_, std::chrono::milliseconds(ReadRetryInterval.count));
             timer->async_wait(
-                [this, running, timer](const boost::system::error_code &) { advance(running); });
+                [this, pending, timer](const boost::system::error_code &) { advance(pending); });
         });
         break;
     case ConfigurationChange::Step::Write:
         server_.platform_.writeConfiguration(
-            change.toWrite(), [this, running](ConfigurationChange::Write outcome, Revision revision) {
-                running->change.onWritten(outcome, revision, server_.now());
-                advance(running);
+            change.toWrite(), [this, pending](ConfigurationChange::WriteResult outcome, Revision revision) {
+                pending->change.onWritten(outcome, revision, server_.now());
+                advance(pending);
             });
         break;
     case ConfigurationChange::Step::Confirm:
         server_.platform_.readConfiguration([this](const std::optional<StoredConfiguration> &stored) {
             if (stored)
-                server_.post(ConfigurationSeen{stored->revision, stored->text});
+                server_.post(ConfigurationReceived{stored->revision, stored->text});
         });
-        confirming_.push_back(running);
+        awaitingConfirmation_.push_back(pending);
         break;
     case ConfigurationChange::Step::Done:
-        finish(running);
+        finish(pending);
         break;
     }
 }
@@ -160,35 +160,35 @@
 void AdminApi::tick()
 {
     const TimeMs now = server_.now();
-    std::list<RunningPtr> waiting;
-    waiting.swap(confirming_);
-    for (const RunningPtr &running : waiting) {
-        running->change.onConfirm(isConfirmed(server_.daemon_.world(), running->change.revision()), now);
-        if (running->change.step() == ConfigurationChange::Step::Done)
-            finish(running);
+    std::list<PendingChangePtr> waiting;
+    waiting.swap(awaitingConfirmation_);
+    for (const PendingChangePtr &pending : waiting) {
+        pending->change.onConfirm(isConfirmed(server_.daemon_.world(), pending->change.revision()), now);
+        if (pending->change.step() == ConfigurationChange::Step::Done)
+            finish(pending);
         else
-            confirming_.push_back(running);
+            awaitingConfirmation_.push_back(pending);
     }
 }
 
-void AdminApi::finish(const RunningPtr &running)
+void AdminApi::finish(const PendingChangePtr &pending)
 {
-    const ConfigurationChange &change = running->change;
-    json::object body{{"change", running->id}, {"revision", change.revision().value}};
-    switch (change.verdict()) {
-    case ConfigurationChange::Verdict::Accepted:
+    const ConfigurationChange &change = pending->change;
+    json::object body{{"change", pending->id}, {"revision", change.revision().value}};
+    switch (change.finalOutcome()) {
+    case ConfigurationChange::ChangeOutcome::Accepted:
         body["verdict"] = "accepted";
-        logChange("configurationAccepted", "change={} revision={}", running->id, change.revision().value);
-        return respondJson(running->exchange, 200, body);
-    case ConfigurationChange::Verdict::Conflict:
+        logChange("configurationAccepted", "change={} revision={}", pending->id, change.revision().value);
+        return respondJson(pending->exchange, 200, body);
+    case ConfigurationChange::ChangeOutcome::Conflict:
         body["verdict"] = "conflict";
-        return respondJson(running->exchange, 409, body);
-    case ConfigurationChange::Verdict::Unconfirmed:
+        return respondJson(pending->exchange, 409, body);
+    case ConfigurationChange::ChangeOutcome::Unconfirmed:
         body["verdict"] = "unconfirmed";
-        return respondJson(running->exchange, 202, body);
-    case ConfigurationChange::Verdict::Unsettled:
+        return respondJson(pending->exchange, 202, body);
+    case ConfigurationChange::ChangeOutcome::Unsettled:
         body["verdict"] = "unsettled";
-        return respondJson(running->exchange, 504, body);
+        return respondJson(pending->exchange, 504, body);
     }
 }
 
--- a/src/daemon/io/adminapi.h
+++ b/src/daemon/io/adminapi.h
@@ -19,8 +19,8 @@
     void tick(); ///< Rechecks the changes that wait for confirmation.
 
 private:
-    struct Running; ///< A configuration change in progress.
-    using RunningPtr = std::shared_ptr<Running>;
+    struct PendingChange; ///< A configuration change in progress.
+    using PendingChangePtr = std::shared_ptr<PendingChange>;
 
     void getConfiguration(const HttpExchangePtr &exchange);
     void diff(const HttpExchangePtr &exchange);
@@ -29,11 +29,11 @@
     void getStatus(const HttpExchangePtr &exchange);
     void getRequests(const HttpExchangePtr &exchange);
     void drain(const HttpExchangePtr &exchange, const HttpTarget &target);
-    void advance(const RunningPtr &running);
-    void finish(const RunningPtr &running);
+    void advance(const PendingChangePtr &pending);
+    void finish(const PendingChangePtr &pending);
 
     Server &server_;
-    std::list<RunningPtr> confirming_;
+    std::list<PendingChangePtr> awaitingConfirmation_;
 };
 
 } // namespace cranberry
--- a/src/daemon/io/callerapi.cpp
+++ b/src/daemon/io/callerapi.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-constexpr DurationMs KeepAliveAfter{1000};
+constexpr DurationMs KeepAliveInterval{1000};
 constexpr size_t MaxPendingBytes = 8U << 20; ///< Slower readers are disconnected; they may resume.
 constexpr const char *RequestsPath = "/v1/requests/";
 constexpr const char *ServicesPath = "/v1/services/";
 
-uint64_t hexNumber(const std::string &text)
+uint64_t parseHex(const std::string &text)
 {
     uint64_t value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value, 16);
     return value;
 }
 
-uint64_t number(const std::string &text, uint64_t fallback)
+uint64_t parseNumber(const std::string &text, uint64_t fallback)
 {
     uint64_t value = 0;
     const std::from_chars_result result = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -51,7 +51,7 @@
             {"retryAfterMs", refusal.retryAfter.count}};
 }
 
-int statusOf(const Refusal &refusal)
+int httpStatus(const Refusal &refusal)
 {
     if (refusal.outcome == Outcome::Unknown)
         return refusal.reason == RefusalReason::RequestNotFound ? 404 : 502;
@@ -86,18 +86,18 @@
     HttpHeaders headers = jsonHeaders();
     if (refusal.retryAfter.count > 0)
         headers.push_back({"Retry-After", std::to_string((refusal.retryAfter.count + 999) / 1000)});
-    exchange.respond(statusOf(refusal), headers, json::serialize(body));
+    exchange.respond(httpStatus(refusal), headers, json::serialize(body));
 }
 
 // Fills the fields that all requests share from the headers. Returns an error message, or an empty string.
-std::string readCommon(const HttpHeaders &headers, RequestSpec &spec)
+std::string parseCommonHeaders(const HttpHeaders &headers, RequestSpec &spec)
 {
-    constexpr uint64_t Bad = ~0ULL;
+    constexpr uint64_t Invalid = ~0ULL;
     spec.organisation.value = headerOf(headers, "X-Organisation");
     if (spec.organisation.value.empty())
         return "header X-Organisation is missing";
-    const uint64_t deadline
-        = number(headerOf(headers, "X-Deadline-Ms"), headerOf(headers, "X-Deadline-Ms").empty() ? 0 : Bad);
+    const uint64_t deadline = parseNumber(headerOf(headers, "X-Deadline-Ms"),
+                                          headerOf(headers, "X-Deadline-Ms").empty() ? 0 : Invalid);
     if (deadline > 86'400'000)
         return "header X-Deadline-Ms must be a number of milliseconds up to a day";
     spec.deadline = {static_cast<int64_t>(deadline)};
@@ -105,7 +105,7 @@
         spec.workClass = WorkClass::Batch;
     spec.idempotent = headerOf(headers, "X-Non-Idempotent") != "true";
     const std::string attempt = headerOf(headers, "X-Attempt");
-    spec.attempt = static_cast<uint32_t>(number(attempt, 1));
+    spec.attempt = static_cast<uint32_t>(parseNumber(attempt, 1));
 
     const std::string session = headerOf(headers, "X-Session");
     const std::string key = headerOf(headers, "Idempotency-Key");
@@ -116,9 +116,9 @@
         return {};
     }
     const size_t dot = session.find('.');
-    spec.key.registrar = {hexNumber(session.substr(0, dot))};
-    spec.key.session = dot == std::string::npos ? 0 : number(session.substr(dot + 1), 0);
-    spec.key.sequence = number(key, 0);
+    spec.key.registrar = {parseHex(session.substr(0, dot))};
+    spec.key.session = dot == std::string::npos ? 0 : parseNumber(session.substr(dot + 1), 0);
+    spec.key.sequence = parseNumber(key, 0);
     if (!spec.key.registrar || spec.key.session == 0)
         return "header X-Session is not one that /v1/entries gave out";
     if (spec.key.sequence == 0)
@@ -128,7 +128,7 @@
 
 // Reads the model, the options and the text of all messages, which is used for prefix matching. Returns an
 // error message, or an empty string.
-std::string readChatBody(const std::string &body, RequestSpec &spec)
+std::string parseChatBody(const std::string &body, RequestSpec &spec)
 {
     json::error_code code;
     const json::value value = json::parse(body, code);
@@ -151,10 +151,11 @@
     spec.service.value = std::string(model->as_string());
     const json::value *stream = object->if_contains("stream");
     spec.stream = stream && stream->is_bool() && stream->as_bool();
-    const json::value *most = object->if_contains("max_tokens");
-    if (most && (!most->is_int64() || most->as_int64() < 1 || most->as_int64() > 1'000'000))
+    const json::value *maxTokens = object->if_contains("max_tokens");
+    if (maxTokens
+        && (!maxTokens->is_int64() || maxTokens->as_int64() < 1 || maxTokens->as_int64() > 1'000'000))
         return "body.max_tokens must be a whole number from 1 to 1000000";
-    spec.maxTokens = most ? static_cast<uint32_t>(most->as_int64()) : 0;
+    spec.maxTokens = maxTokens ? static_cast<uint32_t>(maxTokens->as_int64()) : 0;
     return {};
 }
 
@@ -174,7 +175,7 @@
         json::serialize(json::string_view(data.text)));
 }
 
-std::string endEvents(const std::string &requestId, const AnswerEnd &end)
+std::string finalEvents(const std::string &requestId, const AnswerEnd &end)
 {
     const json::object chunk{
         {"id", requestId},
@@ -201,7 +202,7 @@
     caller.lastWrite = caller.arrivedAt;
     exchange->onClosed([this, id] {
         if (callers_.erase(id))
-            sink_(CallerGone{id});
+            sink_(CallerDisconnected{id});
     });
     return caller;
 }
@@ -237,17 +238,17 @@
 {
     const Caller &caller = open(exchange, false);
     const bool wantsSession = headerOf(target.query, "session") == "true";
-    sink_(CallerEntries{caller.id, {headerOf(target.query, "organisation")}, wantsSession});
+    sink_(CallerEntriesRequest{caller.id, {headerOf(target.query, "organisation")}, wantsSession});
 }
 
 void CallerApi::submitChat(const HttpExchangePtr &exchange)
 {
     RequestSpec spec;
-    std::string wrong = readCommon(exchange->request().headers, spec);
-    if (wrong.empty())
-        wrong = readChatBody(exchange->request().body, spec);
-    if (!wrong.empty())
-        return respondRefusal(*exchange, {Outcome::NotRun, RefusalReason::BadRequest, {}}, wrong);
+    std::string problem = parseCommonHeaders(exchange->request().headers, spec);
+    if (problem.empty())
+        problem = parseChatBody(exchange->request().body, spec);
+    if (!problem.empty())
+        return respondRefusal(*exchange, {Outcome::NotRun, RefusalReason::BadRequest, {}}, problem);
     spec.body = exchange->request().body;
     const Caller &caller = open(exchange, spec.stream);
     sink_(CallerSubmit{caller.id, std::move(spec)});
@@ -256,9 +257,9 @@
 void CallerApi::submitPlain(const HttpExchangePtr &exchange, const std::string &path)
 {
     RequestSpec spec;
-    const std::string wrong = readCommon(exchange->request().headers, spec);
-    if (!wrong.empty())
-        return respondRefusal(*exchange, {Outcome::NotRun, RefusalReason::BadRequest, {}}, wrong);
+    const std::string problem = parseCommonHeaders(exchange->request().headers, spec);
+    if (!problem.empty())
+        return respondRefusal(*exchange, {Outcome::NotRun, RefusalReason::BadRequest, {}}, problem);
     const size_t slash = path.find_first_of("/?");
     spec.service.value = path.substr(0, slash);
     spec.path = slash == std::string::npos ? "/" : path.substr(slash);
@@ -280,12 +281,12 @@
                               "not a request id: " + idText);
     const bool stream
         = headerOf(exchange->request().headers, "Accept").find("event-stream") != std::string::npos;
-    const std::string last = headerOf(exchange->request().headers, "Last-Event-ID");
-    const size_t colon = last.find(':');
+    const std::string lastEventId = headerOf(exchange->request().headers, "Last-Event-ID");
+    const size_t colon = lastEventId.find(':');
     CallerResume event{{}, *id, 0, 0};
     if (stream && colon != std::string::npos) {
-        event.lineage = hexNumber(last.substr(0, colon));
-        event.offset = number(last.substr(colon + 1), 0);
+        event.lineage = parseHex(lastEventId.substr(0, colon));
+        event.offset = parseNumber(lastEventId.substr(colon + 1), 0);
     }
     Caller &caller = open(exchange, stream);
     caller.requestId = idText;
@@ -295,9 +296,9 @@
 
 void CallerApi::beginStream(Caller &caller)
 {
-    if (caller.streaming)
+    if (caller.streamStarted)
         return;
-    caller.streaming = true;
+    caller.streamStarted = true;
     caller.exchange->beginStream(200,
                                  {{"Content-Type", "text/event-stream"},
                                   {"Cache-Control", "no-store"},
@@ -320,11 +321,11 @@
     if (!caller)
         return;
     const TimeMs now = clock_();
-    if (!caller->gotText)
+    if (!caller->receivedText)
         latencies_.firstToken(now - caller->arrivedAt);
     else
         latencies_.betweenTokens(now - caller->lastWrite);
-    caller->gotText = true;
+    caller->receivedText = true;
     caller->lastWrite = now;
     if (caller->stream) {
         beginStream(*caller);
@@ -346,7 +347,7 @@
     const AnswerEnd &end = action.end;
     if (caller->stream && end.status == 200) {
         beginStream(*caller);
-        caller->exchange->write(endEvents(caller->requestId, end));
+        caller->exchange->write(finalEvents(caller->requestId, end));
         caller->exchange->finish();
         return close(action.caller);
     }
@@ -376,7 +377,7 @@
     Caller *caller = find(action.caller);
     if (!caller)
         return;
-    if (caller->streaming) {
+    if (caller->streamStarted) {
         // [DONE] is left out, so that the caller can tell that the response is incomplete.
         const json::object error{{"error", refusalBody(action.refusal)}};
         caller->exchange->write(fmt::format("event: error\ndata: {}\n\n", json::serialize(error)));
@@ -394,7 +395,7 @@
         return;
     const std::string id = toText(action.request);
     const std::string location = fmt::format("http://{}{}{}", toText(action.address), RequestsPath, id);
-    if (caller->streaming) {
+    if (caller->streamStarted) {
         const json::object moved{{"moved", json::object{{"requestId", id}, {"location", location}}}};
         caller->exchange->write(fmt::format("event: moved\ndata: {}\n\n", json::serialize(moved)));
         caller->exchange->finish();
@@ -404,7 +405,7 @@
     close(action.caller);
 }
 
-void CallerApi::handle(const CallerElsewhere &action)
+void CallerApi::handle(const CallerRedirected &action)
 {
     Caller *caller = find(action.caller);
     if (!caller)
@@ -422,12 +423,12 @@
     close(action.caller);
 }
 
-void CallerApi::handle(const EntriesAnswer &action)
+void CallerApi::handle(const CallerEntriesReply &action)
 {
     Caller *caller = find(action.caller);
     if (!caller)
         return;
-    json::object body{{"entries", addressList(action.entries)}, {"keepMs", action.keep.count}};
+    json::object body{{"entries", addressList(action.entries)}, {"keepMs", action.ttl.count}};
     if (action.session.registrar)
         body["session"] = sessionText(action.session);
     caller->exchange->respond(200, jsonHeaders(), json::serialize(body));
@@ -439,7 +440,7 @@
     const TimeMs now = clock_();
     for (std::pair<const CallerId, Caller> &entry : callers_) {
         Caller &caller = entry.second;
-        if (!caller.streaming || now - caller.lastWrite < KeepAliveAfter)
+        if (!caller.streamStarted || now - caller.lastWrite < KeepAliveInterval)
             continue;
         caller.lastWrite = now;
         caller.exchange->write(": waiting\n\n");
--- a/src/daemon/io/callerapi.h
+++ b/src/daemon/io/callerapi.h
@@ -24,8 +24,8 @@
     void handle(const CallerEnd &action);
     void handle(const CallerRefused &action);
     void handle(const CallerMoved &action);
-    void handle(const CallerElsewhere &action);
-    void handle(const EntriesAnswer &action);
+    void handle(const CallerRedirected &action);
+    void handle(const CallerEntriesReply &action);
 
     /// Writes an SSE comment to each idle stream, so that callers can detect a dead connection.
     void tick();
@@ -38,12 +38,12 @@
         CallerId id;
         HttpExchangePtr exchange;
         bool stream = false;
-        bool streaming = false; ///< The response head of the stream has been written.
+        bool streamStarted = false; ///< The response head of the stream has been written.
         std::string requestId;
         std::string text; ///< The response text received so far; only kept for callers that don't stream.
         TimeMs arrivedAt;
         TimeMs lastWrite;
-        bool gotText = false;
+        bool receivedText = false;
     };
 
     void submitChat(const HttpExchangePtr &exchange);
--- a/src/daemon/io/endpointlink.cpp
+++ b/src/daemon/io/endpointlink.cpp
@@ -13,11 +13,11 @@
 
 /// An endpoint whose process runs accepts a connection within milliseconds. An endpoint on an unresponsive
 /// instance does not count as exited, and its callers should not wait for the probe.
-constexpr DurationMs BreakQuestionTimeout{200};
+constexpr DurationMs HealthProbeTimeout{200};
 
 } // namespace
 
-struct EndpointLink::Running {
+struct EndpointLink::ActiveAttempt {
     AttemptId id;
     Address address;
     uint64_t call = 0;
@@ -26,9 +26,9 @@
     std::string buffer;
     std::string text; ///< Text collected from one read and passed on in one event.
     uint32_t tokens = 0; ///< Number of tokens in `text`.
-    bool whole = false; ///< The engine's end marker, [DONE], was received.
-    bool saidNotRun = false;
-    bool repeatable = false;
+    bool sawEndMarker = false; ///< The engine's end marker, [DONE], was received.
+    bool reportedNotRun = false;
+    bool retryable = false;
 };
 
 std::string engineBody(const StartAttempt &attempt)
@@ -55,17 +55,17 @@
 
 void EndpointLink::start(const StartAttempt &attempt)
 {
-    std::shared_ptr<Running> running = std::make_shared<Running>();
-    running->id = attempt.attempt;
-    running->address = attempt.address;
-    running->end.attempt = attempt.attempt;
-    running->model = attempt.kind == ServiceKind::Model;
-    running->repeatable = attempt.spec->idempotent;
+    std::shared_ptr<ActiveAttempt> active = std::make_shared<ActiveAttempt>();
+    active->id = attempt.attempt;
+    active->address = attempt.address;
+    active->end.attempt = attempt.attempt;
+    active->model = attempt.kind == ServiceKind::Model;
+    active->retryable = attempt.spec->idempotent;
     HttpCall call;
     call.address = attempt.address;
     call.progressTimeout = attempt.progressTimeout;
     call.freshConnection = !attempt.spec->idempotent;
-    if (running->model)
+    if (active->model)
         call.request
             = {"POST", "/v1/chat/completions", {{"Content-Type", "application/json"}}, engineBody(attempt)};
     else
@@ -75,62 +75,62 @@
                         attempt.spec->body};
     HttpCallbacks callbacks;
     callbacks.onHead
-        = [this, running](int status, const HttpHeaders &headers) { onHead(*running, status, headers); };
-    callbacks.onData = [this, running](const char *data, size_t size) { onData(*running, data, size); };
-    callbacks.onDone = [this, running](HttpFailure failure) { onDone(running, failure); };
-    running_[attempt.attempt] = running;
-    running->call = http_.start(std::move(call), std::move(callbacks));
+        = [this, active](int status, const HttpHeaders &headers) { onHead(*active, status, headers); };
+    callbacks.onData = [this, active](const char *data, size_t size) { onData(*active, data, size); };
+    callbacks.onDone = [this, active](HttpFailure failure) { onDone(active, failure); };
+    activeAttempts_[attempt.attempt] = active;
+    active->call = http_.start(std::move(call), std::move(callbacks));
 }
 
 void EndpointLink::cancel(AttemptId attempt)
 {
-    auto found = running_.find(attempt);
-    if (found == running_.end())
+    auto found = activeAttempts_.find(attempt);
+    if (found == activeAttempts_.end())
         return;
     http_.cancel(found->second->call);
-    running_.erase(found);
+    activeAttempts_.erase(found);
 }
 
-void EndpointLink::onHead(Running &running, int status, const HttpHeaders &headers)
+void EndpointLink::onHead(ActiveAttempt &active, int status, const HttpHeaders &headers)
 {
-    running.end.status = status;
-    running.end.contentType = headerOf(headers, "Content-Type");
-    running.saidNotRun = status == 503 && headerOf(headers, "X-Not-Run") == "true";
+    active.end.status = status;
+    active.end.contentType = headerOf(headers, "Content-Type");
+    active.reportedNotRun = status == 503 && headerOf(headers, "X-Not-Run") == "true";
     if (status != 200)
-        running.model = false; // Error bodies are passed on unchanged.
+        active.model = false; // Error bodies are passed on unchanged.
 }
 
-void EndpointLink::onData(Running &running, const char *data, size_t size)
+void EndpointLink::onData(ActiveAttempt &active, const char *data, size_t size)
 {
-    if (running.saidNotRun)
+    if (active.reportedNotRun)
         return;
-    if (!running.model) {
-        running.text.append(data, size);
+    if (!active.model) {
+        active.text.append(data, size);
         return;
     }
-    running.buffer.append(data, size);
+    active.buffer.append(data, size);
     size_t start = 0;
-    for (size_t end = running.buffer.find('\n'); end != std::string::npos;
-         end = running.buffer.find('\n', start)) {
-        onLine(running, running.buffer.substr(start, end - start));
+    for (size_t end = active.buffer.find('\n'); end != std::string::npos;
+         end = active.buffer.find('\n', start)) {
+        onLine(active, active.buffer.substr(start, end - start));
         start = end + 1;
     }
-    running.buffer.erase(0, start);
-    if (running.text.empty())
+    active.buffer.erase(0, start);
+    if (active.text.empty())
         return;
-    EndpointData event{running.id, std::move(running.text), running.tokens};
-    running.text.clear();
-    running.tokens = 0;
+    EndpointData event{active.id, std::move(active.text), active.tokens};
+    active.text.clear();
+    active.tokens = 0;
     sink_(std::move(event));
 }
 
-void EndpointLink::onLine(Running &running, const std::string &line)
+void EndpointLink::onLine(ActiveAttempt &active, const std::string &line)
 {
     constexpr size_t PrefixSize = 6;
     if (!line.starts_with("data: "))
         return;
     if (line.compare(PrefixSize, 6, "[DONE]") == 0) {
-        running.whole = true;
+        active.sawEndMarker = true;
         return;
     }
     constexpr size_t ScratchBytes = 4096;
@@ -145,7 +145,7 @@
         const json::value *details = usage->as_object().if_contains("prompt_tokens_details");
         const json::value *cached
             = details && details->is_object() ? details->as_object().if_contains("cached_tokens") : nullptr;
-        running.end.cachedTokens = wholeNumber<uint32_t>(cached).value_or(running.end.cachedTokens);
+        active.end.cachedTokens = wholeNumber<uint32_t>(cached).value_or(active.end.cachedTokens);
     }
     const json::value *choices = chunk.as_object().if_contains("choices");
     if (!choices || !choices->is_array() || choices->as_array().empty()
@@ -156,56 +156,56 @@
     const json::value *content
         = delta && delta->is_object() ? delta->as_object().if_contains("content") : nullptr;
     if (content && content->is_string()) {
-        running.text.append(content->as_string().data(), content->as_string().size());
-        ++running.tokens;
+        active.text.append(content->as_string().data(), content->as_string().size());
+        ++active.tokens;
     }
     const json::value *reason = choice.if_contains("finish_reason");
     if (reason && reason->is_string())
-        running.end.finishReason = std::string(reason->as_string());
+        active.end.finishReason = std::string(reason->as_string());
 }
 
 // A stream is complete only with the engine's end marker; without this check, a connection that is closed
 // cleanly in the middle of a response would look like a short response.
-void EndpointLink::onDone(const std::shared_ptr<Running> &done, HttpFailure failure)
+void EndpointLink::onDone(const std::shared_ptr<ActiveAttempt> &finished, HttpFailure failure)
 {
-    Running &running = *done;
-    running_.erase(running.id);
-    const bool cut = running.model && !running.whole;
-    const bool failed = running.repeatable && running.end.status >= 500;
-    if (running.saidNotRun && failure == HttpFailure::None)
-        return sink_(EndpointFailed{running.id, FailurePhase::SaidNotRun});
+    ActiveAttempt &active = *finished;
+    activeAttempts_.erase(active.id);
+    const bool truncated = active.model && !active.sawEndMarker;
+    const bool serverError = active.retryable && active.end.status >= 500;
+    if (active.reportedNotRun && failure == HttpFailure::None)
+        return sink_(EndpointFailed{active.id, FailurePhase::SaidNotRun});
     if (!mayHaveArrived(failure))
-        return sink_(EndpointFailed{running.id, FailurePhase::NotSent});
+        return sink_(EndpointFailed{active.id, FailurePhase::NotSent});
     if (failure == HttpFailure::ProgressTimeout)
-        return sink_(EndpointFailed{running.id, FailurePhase::Silent});
-    if (failure == HttpFailure::Interrupted || cut)
-        return askAfterBreak(done);
-    if (failed)
-        return sink_(EndpointFailed{running.id, FailurePhase::AfterSend});
-    if (!running.text.empty())
-        sink_(EndpointData{running.id, running.text, 0});
-    sink_(running.end);
+        return sink_(EndpointFailed{active.id, FailurePhase::Silent});
+    if (failure == HttpFailure::Interrupted || truncated)
+        return probeEndpoint(finished);
+    if (serverError)
+        return sink_(EndpointFailed{active.id, FailurePhase::AfterSend});
+    if (!active.text.empty())
+        sink_(EndpointData{active.id, active.text, 0});
+    sink_(active.end);
 }
 
 // Probes whether the endpoint's process exited or only the connection failed. A request that crashes one
 // endpoint after another must not be retried, but a request whose connection failed must be.
-void EndpointLink::askAfterBreak(const std::shared_ptr<Running> &running)
+void EndpointLink::probeEndpoint(const std::shared_ptr<ActiveAttempt> &active)
 {
     HttpCall call;
-    call.address = running->address;
+    call.address = active->address;
     call.request = {"GET", "/health", {}, {}};
     call.freshConnection = true;
-    call.connectTimeout = BreakQuestionTimeout;
-    call.progressTimeout = BreakQuestionTimeout;
-    call.totalTimeout = BreakQuestionTimeout;
+    call.connectTimeout = HealthProbeTimeout;
+    call.progressTimeout = HealthProbeTimeout;
+    call.totalTimeout = HealthProbeTimeout;
     HttpCallbacks callbacks;
-    callbacks.onDone = [this, id = running->id](HttpFailure failure) {
-        running_.erase(id);
-        const bool ended = failure == HttpFailure::Refused;
-        sink_(EndpointFailed{id, ended ? FailurePhase::Ended : FailurePhase::AfterSend});
+    callbacks.onDone = [this, id = active->id](HttpFailure failure) {
+        activeAttempts_.erase(id);
+        const bool exited = failure == HttpFailure::Refused;
+        sink_(EndpointFailed{id, exited ? FailurePhase::EndpointExited : FailurePhase::AfterSend});
     };
-    running_[running->id] = running;
-    running->call = http_.start(std::move(call), std::move(callbacks));
+    activeAttempts_[active->id] = active;
+    active->call = http_.start(std::move(call), std::move(callbacks));
 }
 
 } // namespace cranberry
--- a/src/daemon/io/endpointlink.h
+++ b/src/daemon/io/endpointlink.h
@@ -20,17 +20,17 @@
     void cancel(AttemptId attempt);
 
 private:
-    struct Running;
+    struct ActiveAttempt;
 
-    void onHead(Running &running, int status, const HttpHeaders &headers);
-    void onData(Running &running, const char *data, size_t size);
-    void onLine(Running &running, const std::string &line);
-    void onDone(const std::shared_ptr<Running> &running, HttpFailure failure);
-    void askAfterBreak(const std::shared_ptr<Running> &running);
+    void onHead(ActiveAttempt &active, int status, const HttpHeaders &headers);
+    void onData(ActiveAttempt &active, const char *data, size_t size);
+    void onLine(ActiveAttempt &active, const std::string &line);
+    void onDone(const std::shared_ptr<ActiveAttempt> &active, HttpFailure failure);
+    void probeEndpoint(const std::shared_ptr<ActiveAttempt> &active);
 
     HttpClient &http_;
     Sink sink_;
-    std::map<AttemptId, std::shared_ptr<Running>> running_;
+    std::map<AttemptId, std::shared_ptr<ActiveAttempt>> activeAttempts_;
 };
 
 /// Returns the request body for an engine. It asks for a streamed response; if the attempt has a `prefix`, it
--- a/src/daemon/io/peerlink.cpp
+++ b/src/daemon/io/peerlink.cpp
@@ -55,7 +55,7 @@
     };
 
     std::shared_ptr<Channel> channelTo(const Address &address);
-    void dropIfSilent(const Address &address, const std::shared_ptr<Channel> &channel, bool ok);
+    void recordCallResult(const Address &address, const std::shared_ptr<Channel> &channel, bool ok);
 
     boost::asio::io_context &io;
     Incarnation self;
@@ -94,7 +94,8 @@
 // Drops the channel after two consecutive failed calls, so that the next call opens a new connection. Guards
 // against network paths that lose the state of a connection: that connection then never responds again, while
 // new connections work.
-void PeerLink::State::dropIfSilent(const Address &address, const std::shared_ptr<Channel> &channel, bool ok)
+void PeerLink::State::recordCallResult(const Address &address, const std::shared_ptr<Channel> &channel,
+                                       bool ok)
 {
     const std::lock_guard<std::mutex> lock(mutex);
     channel->failures = ok ? 0 : channel->failures + 1;
@@ -133,12 +134,12 @@
     state_->bytesSent += call->request.ByteSizeLong();
     std::weak_ptr<State> weak = state_;
     const Address address = message.address;
-    call->channel->stub->async()->Deliver(&call->context, &call->request, &call->reply,
-                                          [call, weak, address](const grpc::Status &status) {
-                                              if (std::shared_ptr<State> state = weak.lock())
-                                                  state->dropIfSilent(address, call->channel, status.ok());
-                                              delete call;
-                                          });
+    call->channel->stub->async()->Deliver(
+        &call->context, &call->request, &call->reply, [call, weak, address](const grpc::Status &status) {
+            if (std::shared_ptr<State> state = weak.lock())
+                state->recordCallResult(address, call->channel, status.ok());
+            delete call;
+        });
 }
 
 uint64_t PeerLink::bytesSent() const
--- a/src/daemon/io/platform.cpp
+++ b/src/daemon/io/platform.cpp
@@ -16,8 +16,8 @@
 constexpr DurationMs CallTimeout{1500};
 constexpr DurationMs ReadInterval{3000}; ///< Polling backs up the watch, which can stop delivering.
 constexpr DurationMs WatchTimeout{15000};
-constexpr DurationMs WatchPause{500};
-constexpr DurationMs NoticeInterval{400};
+constexpr DurationMs WatchRetryInterval{500};
+constexpr DurationMs NoticePollInterval{400};
 constexpr uint32_t MaxOnceTries = 8;
 
 std::string toBase64(const std::string &text)
@@ -41,7 +41,7 @@
     return out;
 }
 
-const json::value *firstOf(const json::value &value, const char *name)
+const json::value *firstElement(const json::value &value, const char *name)
 {
     const json::object *object = value.if_object();
     const json::value *field = object ? object->if_contains(name) : nullptr;
@@ -60,11 +60,11 @@
 OnceRecord decodeRecord(const std::string &text)
 {
     OnceRecord record;
-    const json::value value = parsedOrNull(text);
-    record.state = static_cast<OnceState>(std::min<uint64_t>(numberAt(value, "state"), 2));
-    record.refusedThrough = static_cast<uint32_t>(numberAt(value, "refusedThrough"));
-    record.holder = {numberAt(value, "holder")};
-    record.request = requestIdFromText(textAt(value, "request")).value_or(RequestId{});
+    const json::value value = parseOrNull(text);
+    record.state = static_cast<OnceState>(std::min<uint64_t>(numberField(value, "state"), 2));
+    record.refusedThrough = static_cast<uint32_t>(numberField(value, "refusedThrough"));
+    record.holder = {numberField(value, "holder")};
+    record.request = requestIdFromText(stringField(value, "request")).value_or(RequestId{});
     return record;
 }
 
@@ -82,7 +82,7 @@
     noticeLoop();
 }
 
-void Platform::after(DurationMs wait, std::function<void()> action)
+void Platform::runAfter(DurationMs wait, std::function<void()> action)
 {
     std::shared_ptr<boost::asio::steady_timer> timer
         = std::make_shared<boost::asio::steady_timer>(io_, std::chrono::milliseconds(wait.count));
@@ -115,25 +115,25 @@
         });
 }
 
-void Platform::range(const std::string &key, std::function<void(const Value &)> onDone)
+void Platform::range(const std::string &key, std::function<void(const StoredValue &)> onDone)
 {
     ++reads_;
     post("/v3/kv/range", json::serialize(json::object{{"key", toBase64(key)}}),
          [onDone = std::move(onDone)](const HttpResponse &response) {
-             Value value;
-             const json::value body = parsedOrNull(response.body);
-             value.known
+             StoredValue value;
+             const json::value body = parseOrNull(response.body);
+             value.available
                  = response.failure == HttpFailure::None && response.status == 200 && body.is_object();
-             if (const json::value *found = firstOf(body, "kvs")) {
-                 value.text = fromBase64(textAt(*found, "value"));
-                 value.modRevision = numberAt(*found, "mod_revision");
+             if (const json::value *found = firstElement(body, "kvs")) {
+                 value.text = fromBase64(stringField(*found, "value"));
+                 value.modRevision = numberField(*found, "mod_revision");
              }
              onDone(value);
          });
 }
 
 void Platform::compareAndSwap(const std::string &key, uint64_t modRevision, const std::string &value,
-                              std::function<void(ConfigurationChange::Write, Revision)> onDone)
+                              std::function<void(ConfigurationChange::WriteResult, Revision)> onDone)
 {
     ++writes_;
     const json::object compare{{"key", toBase64(key)},
@@ -146,22 +146,23 @@
         // Failed: the request was never sent or the service rejected it, so nothing was written. In all other
         // cases the write may have taken effect.
         if (!mayHaveArrived(response.failure))
-            return onDone(ConfigurationChange::Write::Failed, {});
-        const json::value answer = parsedOrNull(response.body);
-        if (response.failure != HttpFailure::None || response.status != 200 || !answer.is_object())
-            return onDone(ConfigurationChange::Write::Lost, {});
-        const json::value *succeeded = answer.as_object().if_contains("succeeded");
-        const json::value *header = answer.as_object().if_contains("header");
-        const bool held = succeeded && succeeded->is_bool() && succeeded->as_bool();
-        onDone(held ? ConfigurationChange::Write::Held : ConfigurationChange::Write::Failed,
-               {header ? numberAt(*header, "revision") : 0});
+            return onDone(ConfigurationChange::WriteResult::NotApplied, {});
+        const json::value reply = parseOrNull(response.body);
+        if (response.failure != HttpFailure::None || response.status != 200 || !reply.is_object())
+            return onDone(ConfigurationChange::WriteResult::ReplyLost, {});
+        const json::value *succeeded = reply.as_object().if_contains("succeeded");
+        const json::value *header = reply.as_object().if_contains("header");
+        const bool written = succeeded && succeeded->is_bool() && succeeded->as_bool();
+        onDone(written ? ConfigurationChange::WriteResult::Applied
+                       : ConfigurationChange::WriteResult::NotApplied,
+               {header ? numberField(*header, "revision") : 0});
     });
 }
 
 void Platform::readConfiguration(std::function<void(std::optional<StoredConfiguration>)> onDone)
 {
-    range(ConfigurationKey, [onDone = std::move(onDone)](const Value &value) {
-        if (!value.known)
+    range(ConfigurationKey, [onDone = std::move(onDone)](const StoredValue &value) {
+        if (!value.available)
             return onDone(std::nullopt);
         StoredConfiguration stored;
         if (value.modRevision != 0) {
@@ -179,7 +180,7 @@
 }
 
 void Platform::writeConfiguration(const StoredConfiguration &stored,
-                                  std::function<void(ConfigurationChange::Write, Revision)> onDone)
+                                  std::function<void(ConfigurationChange::WriteResult, Revision)> onDone)
 {
     compareAndSwap(ConfigurationKey, stored.revision.value, encodeStored(stored), std::move(onDone));
 }
@@ -189,14 +190,14 @@
 void Platform::readLoop()
 {
     if (hasRead_ && !isWatcher_())
-        return after(ReadInterval, [this] { readLoop(); });
+        return runAfter(ReadInterval, [this] { readLoop(); });
     readConfiguration([this](const std::optional<StoredConfiguration> &stored) {
         hasRead_ = hasRead_ || (stored && stored->revision.value != 0);
         if (stored && stored->revision.value != 0)
-            sink_(ConfigurationSeen{stored->revision, stored->text});
+            sink_(ConfigurationReceived{stored->revision, stored->text});
         else if (!stored)
-            sink_(PlatformSilent{});
-        after(stored ? ReadInterval : WatchPause, [this] { readLoop(); });
+            sink_(PlatformUnreachable{});
+        runAfter(stored ? ReadInterval : WatchRetryInterval, [this] { readLoop(); });
     });
 }
 
@@ -205,7 +206,7 @@
 void Platform::watch()
 {
     if (!isWatcher_())
-        return after(ReadInterval, [this] { watch(); });
+        return runAfter(ReadInterval, [this] { watch(); });
     ++reads_;
     HttpCall call;
     call.address = address_;
@@ -222,7 +223,7 @@
         if (!weak.lock())
             return;
         watchBuffer_.clear();
-        after(WatchPause, [this] { watch(); });
+        runAfter(WatchRetryInterval, [this] { watch(); });
     };
     http_.start(std::move(call), std::move(callbacks));
 }
@@ -239,14 +240,14 @@
         return;
     readConfiguration([this](const std::optional<StoredConfiguration> &stored) {
         if (stored && stored->revision.value != 0)
-            sink_(ConfigurationSeen{stored->revision, stored->text});
+            sink_(ConfigurationReceived{stored->revision, stored->text});
     });
 }
 
 void Platform::noticeLoop()
 {
     if (!isWatcher_())
-        return after(NoticeInterval, [this] { noticeLoop(); });
+        return runAfter(NoticePollInterval, [this] { noticeLoop(); });
     HttpCall call;
     call.address = address_;
     call.request = {"GET", "/cloud/instances", {}, ""};
@@ -256,54 +257,55 @@
             return;
         if (response.failure == HttpFailure::None && response.status == 200)
             onNotices(response.body);
-        after(NoticeInterval, [this] { noticeLoop(); });
+        runAfter(NoticePollInterval, [this] { noticeLoop(); });
     });
 }
 
 void Platform::onNotices(const std::string &body)
 {
-    const json::value parsed = parsedOrNull(body);
+    const json::value parsed = parseOrNull(body);
     const json::object *object = parsed.if_object();
     const json::value *instances = object ? object->if_contains("instances") : nullptr;
     if (!instances || !instances->is_array())
         return;
     for (const json::value &instance : instances->as_array()) {
-        const std::string name = textAt(instance, "name");
-        if (textAt(instance, "state") != "leaving" || noticesSeen_.contains(name))
+        const std::string name = stringField(instance, "name");
+        if (stringField(instance, "state") != "leaving" || noticesSeen_.contains(name))
             continue;
-        const DurationMs notice{static_cast<int64_t>(numberAt(instance, "noticeMs"))};
+        const DurationMs notice{static_cast<int64_t>(numberField(instance, "noticeMs"))};
         noticesSeen_[name] = notice;
         logChange("instanceLeaving", "instance={} noticeMs={}", name, notice.count);
-        sink_(LeavingSeen{{name}, notice});
+        sink_(LeavingNotice{{name}, notice});
     }
 }
 
-void Platform::ask(const OnceQuestion &question, Incarnation asker)
+void Platform::updateOnceRecord(const OnceQuery &query, Incarnation requester)
 {
-    askAgain(question, asker, 0);
+    tryUpdateOnceRecord(query, requester, 0);
 }
 
 // Reads the record, applies the once rule to it and writes it back by compare-and-swap. After a lost response
 // the record is read again; the rule gives the same reply to the same request, so a write that took effect is
 // recognised.
-void Platform::askAgain(const OnceQuestion &question, Incarnation asker, uint32_t tries)
+void Platform::tryUpdateOnceRecord(const OnceQuery &query, Incarnation requester, uint32_t tries)
 {
-    const std::string key = OncePrefix + question.key.bare;
-    range(key, [this, question, asker, key, tries](const Value &value) {
-        const PlatformOnceReply silent{{question.request, question.action, {}}, false};
-        if (!value.known || tries >= MaxOnceTries)
-            return sink_(silent);
+    const std::string key = OncePrefix + query.key.bare;
+    range(key, [this, query, requester, key, tries](const StoredValue &value) {
+        const PlatformOnceReply unavailable{{query.request, query.action, {}}, false};
+        if (!value.available || tries >= MaxOnceTries)
+            return sink_(unavailable);
         OnceRecord record = value.modRevision ? decodeRecord(value.text) : OnceRecord{};
         const OnceRecord before = record;
-        const OnceAnswer answer = applyOnce(record, question, asker);
+        const OnceAnswer reply = applyOnce(record, query, requester);
         if (record == before)
-            return sink_(PlatformOnceReply{{question.request, question.action, answer}, true});
-        compareAndSwap(key, value.modRevision, encodeRecord(record),
-                       [this, question, asker, answer, tries](ConfigurationChange::Write outcome, Revision) {
-                           if (outcome != ConfigurationChange::Write::Held)
-                               return askAgain(question, asker, tries + 1);
-                           sink_(PlatformOnceReply{{question.request, question.action, answer}, true});
-                       });
+            return sink_(PlatformOnceReply{{query.request, query.action, reply}, true});
+        compareAndSwap(
+            key, value.modRevision, encodeRecord(record),
+            [this, query, requester, reply, tries](ConfigurationChange::WriteResult outcome, Revision) {
+                if (outcome != ConfigurationChange::WriteResult::Applied)
+                    return tryUpdateOnceRecord(query, requester, tries + 1);
+                sink_(PlatformOnceReply{{query.request, query.action, reply}, true});
+            });
     });
 }
 
--- a/src/daemon/io/platform.h
+++ b/src/daemon/io/platform.h
@@ -28,32 +28,32 @@
     void readConfiguration(std::function<void(std::optional<StoredConfiguration>)> onDone);
     /// Writes by compare-and-swap against `stored.revision`.
     void writeConfiguration(const StoredConfiguration &stored,
-                            std::function<void(ConfigurationChange::Write, Revision)> onDone);
+                            std::function<void(ConfigurationChange::WriteResult, Revision)> onDone);
     /// Applies the query to the once record of a bare key by compare-and-swap.
-    void ask(const OnceQuestion &question, Incarnation asker);
+    void updateOnceRecord(const OnceQuery &query, Incarnation requester);
 
     uint64_t reads() const { return reads_; }
     uint64_t writes() const { return writes_; }
     uint64_t failures() const { return failures_; }
 
 private:
-    struct Value {
-        bool known = false; ///< False if the service did not respond.
+    struct StoredValue {
+        bool available = false; ///< False if the service did not respond.
         std::string text;
         uint64_t modRevision = 0;
     };
 
-    void range(const std::string &key, std::function<void(const Value &)> onDone);
+    void range(const std::string &key, std::function<void(const StoredValue &)> onDone);
     void compareAndSwap(const std::string &key, uint64_t modRevision, const std::string &value,
-                        std::function<void(ConfigurationChange::Write, Revision)> onDone);
+                        std::function<void(ConfigurationChange::WriteResult, Revision)> onDone);
     void post(const std::string &target, std::string body, std::function<void(const HttpResponse &)> onDone);
     void readLoop();
     void watch();
     void onWatchData(const char *data, size_t size);
     void noticeLoop();
     void onNotices(const std::string &body);
-    void askAgain(const OnceQuestion &question, Incarnation asker, uint32_t tries);
-    void after(DurationMs wait, std::function<void()> action);
+    void tryUpdateOnceRecord(const OnceQuery &query, Incarnation requester, uint32_t tries);
+    void runAfter(DurationMs wait, std::function<void()> action);
 
     boost::asio::io_context &io_;
     HttpClient &http_;
--- a/src/daemon/io/server.cpp
+++ b/src/daemon/io/server.cpp
@@ -14,7 +14,7 @@
 constexpr uint64_t TicksPerKeepAlive = 10;
 constexpr DurationMs StopGrace{50};
 
-uint64_t randomNumber()
+uint64_t randomNonZero()
 {
     uint64_t value = 0;
     while (value == 0) {
@@ -24,10 +24,10 @@
     return value;
 }
 
-Identity identityOf(const Settings &settings)
+DaemonOptions identityOf(const Settings &settings)
 {
-    Identity identity;
-    identity.member = {{randomNumber()},
+    DaemonOptions identity;
+    identity.member = {{randomNonZero()},
                        settings.instance,
                        settings.failureDomain,
                        settings.callerAddress,
@@ -35,10 +35,10 @@
                        1,
                        {0}};
     identity.seeds = settings.peers;
-    identity.entryKeep = settings.entryKeep;
-    identity.answerKeep = settings.answerKeep;
+    identity.entryListTtl = settings.entriesTtl;
+    identity.answerRetention = settings.answerRetention;
     identity.drainLimit = settings.drainLimit;
-    identity.seed = randomNumber();
+    identity.seed = randomNonZero();
     return identity;
 }
 
@@ -58,25 +58,26 @@
 
 TimeMs Server::now() const
 {
-    const std::chrono::steady_clock::duration since = std::chrono::steady_clock::now().time_since_epoch();
-    return {std::chrono::duration_cast<std::chrono::milliseconds>(since).count()};
+    const std::chrono::steady_clock::duration sinceEpoch
+        = std::chrono::steady_clock::now().time_since_epoch();
+    return {std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count()};
 }
 
 // Events posted while actions are being performed are queued, so that the core is never reentered.
 void Server::post(Event event)
 {
-    pending_.push_back(std::move(event));
-    if (stepping_)
+    pendingEvents_.push_back(std::move(event));
+    if (processingEvents_)
         return;
-    stepping_ = true;
-    while (!pending_.empty()) {
-        const Event next = std::move(pending_.front());
-        pending_.pop_front();
+    processingEvents_ = true;
+    while (!pendingEvents_.empty()) {
+        const Event next = std::move(pendingEvents_.front());
+        pendingEvents_.pop_front();
         const std::vector<Action> actions = daemon_.step(now(), next);
         for (const Action &action : actions)
             perform(action);
     }
-    stepping_ = false;
+    processingEvents_ = false;
 }
 
 void Server::perform(const Action &action)
@@ -87,9 +88,9 @@
         void operator()(const SendPeer &a) const { server.peers_->send(a); }
         void operator()(const StartAttempt &a) const { server.endpoints_.start(a); }
         void operator()(const CancelAttempt &a) const { server.endpoints_.cancel(a.attempt); }
-        void operator()(const AskPlatform &a) const
+        void operator()(const QueryPlatform &a) const
         {
-            server.platform_.ask(a.question, server.daemon_.world().self());
+            server.platform_.updateOnceRecord(a.question, server.daemon_.world().self());
         }
         void operator()(const ConfigurationInForce &a) const
         {
@@ -102,8 +103,8 @@
         void operator()(const CallerEnd &a) const { server.callers_.handle(a); }
         void operator()(const CallerRefused &a) const { server.callers_.handle(a); }
         void operator()(const CallerMoved &a) const { server.callers_.handle(a); }
-        void operator()(const CallerElsewhere &a) const { server.callers_.handle(a); }
-        void operator()(const EntriesAnswer &a) const { server.callers_.handle(a); }
+        void operator()(const CallerRedirected &a) const { server.callers_.handle(a); }
+        void operator()(const CallerEntriesReply &a) const { server.callers_.handle(a); }
     };
     std::visit(Performer{*this}, action);
 }
@@ -162,7 +163,7 @@
                        "cranberry_witnessed {}\ncranberry_register_records {}\ncranberry_marks {}\n"
                        "cranberry_revision {}\n",
                        world.requests.size(), world.queue.size(), world.members.aliveCount(),
-                       world.witnessed.size(), world.onceRegister.recordCount(), world.marks.size(),
+                       world.witnessRecords.size(), world.onceRegister.recordCount(), world.marks.size(),
                        world.revision.value);
     return out;
 }
--- a/src/daemon/io/server.h
+++ b/src/daemon/io/server.h
@@ -49,8 +49,8 @@
     std::unique_ptr<HttpServer> callerServer_;
     std::unique_ptr<HttpServer> adminServer_;
     std::unique_ptr<class AdminApi> admin_;
-    std::deque<Event> pending_;
-    bool stepping_ = false;
+    std::deque<Event> pendingEvents_;
+    bool processingEvents_ = false;
     uint64_t ticks_ = 0;
 };
 
--- a/src/daemon/membership.cpp
+++ b/src/daemon/membership.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-constexpr size_t Probes = 2;
-constexpr size_t RandomMembers = 2;
-constexpr size_t MostNews = 12;
-constexpr DurationMs AnswerPatience{500};
-constexpr DurationMs RefutationPatience{
+constexpr size_t ProbesPerRound = 2;
+constexpr size_t RandomMembersPerGossip = 2;
+constexpr size_t MaxUpdatesPerGossip = 12;
+constexpr DurationMs MemberProbeTimeout{500};
+constexpr DurationMs SuspicionTimeout{
     1500}; ///< Long enough for a suspicion and its refutation to cross the fleet.
-constexpr DurationMs ForgetAfter{600000};
-constexpr uint32_t NewsSendings
+constexpr DurationMs MemberRetention{600000};
+constexpr uint32_t SendsPerUpdate
     = 24; ///< About twice log2 of 890 daemons; the factor of two covers lost messages.
-constexpr uint64_t RoundsPerSeed = 50;
-constexpr uint64_t FirstSeedRounds
+constexpr uint64_t RoundsPerSeedProbe = 50;
+constexpr uint64_t InitialSeedRounds
     = 10; ///< Prevents daemons that start together from forming groups that never meet.
-constexpr uint64_t RoundsPerSuspected = 5;
+constexpr uint64_t RoundsPerSuspectProbe = 5;
 
 uint64_t hashOf(const Mark &mark)
 {
@@ -30,7 +30,7 @@
 
 // Returns `count` random elements, or all if there are fewer.
 template <typename T>
-std::vector<T *> pick(std::vector<T *> from, size_t count, Random &random)
+std::vector<T *> pickRandom(std::vector<T *> from, size_t count, Random &random)
 {
     std::vector<T *> out;
     while (out.size() < count && !from.empty()) {
@@ -44,7 +44,7 @@
 
 } // namespace
 
-void Membership::heardFrom(const MemberInfo &sender, TimeMs now, Counters &counters)
+void Membership::recordContact(const MemberInfo &sender, TimeMs now, Counters &counters)
 {
     if (sender.incarnation == self_.incarnation || !sender.incarnation)
         return;
@@ -54,10 +54,10 @@
         counters.add(Counter::FalseSuspicion);
     member.probedAt = {};
     member.suspectedAt = {};
-    heardRevision(sender.incarnation, sender.revision);
+    recordRevision(sender.incarnation, sender.revision);
 }
 
-void Membership::heardRevision(Incarnation from, Revision revision)
+void Membership::recordRevision(Incarnation from, Revision revision)
 {
     auto found = members_.find(from);
     if (found != members_.end())
@@ -68,7 +68,7 @@
 {
     if (info.incarnation == self_.incarnation || !info.incarnation)
         return;
-    auto found = members_.try_emplace(info.incarnation, Member{info, {}, {}, false, NewsSendings, 0});
+    auto found = members_.try_emplace(info.incarnation, Member{info, {}, {}, false, SendsPerUpdate, 0});
     Member &member = found.first->second;
     if (found.second || info.version <= member.info.version)
         return;
@@ -78,7 +78,7 @@
     member.info = info;
     member.info.revision = revision;
     member.suspectedAt = {};
-    member.newsSendings = NewsSendings;
+    member.updateSendsLeft = SendsPerUpdate;
     now_ = now;
 }
 
@@ -90,7 +90,7 @@
     if (suspicion.incarnation == self_.incarnation) {
         if (suspicion.version >= self_.version) {
             self_.version = suspicion.version + 1;
-            selfSendings_ = NewsSendings;
+            selfSendsLeft_ = SendsPerUpdate;
         }
         return;
     }
@@ -101,7 +101,7 @@
     if (member.suspectedAt.count != 0)
         return;
     member.suspectedAt = now;
-    member.suspicionSendings = NewsSendings;
+    member.suspicionSendsLeft = SendsPerUpdate;
 }
 
 void Membership::markGone(Incarnation incarnation)
@@ -116,14 +116,14 @@
     now_ = now;
     for (std::pair<const Incarnation, Member> &entry : members_) {
         Member &member = entry.second;
-        if (member.probedAt.count == 0 || now - member.probedAt < AnswerPatience)
+        if (member.probedAt.count == 0 || now - member.probedAt < MemberProbeTimeout)
             continue;
         member.probedAt = {};
         suspect({entry.first, member.info.version}, now);
     }
     // Gone members are kept for a long time, so that updates still in circulation do not add them again.
     std::erase_if(members_, [now](const std::pair<const Incarnation, Member> &entry) {
-        return entry.second.suspectedAt.count != 0 && now - entry.second.suspectedAt > ForgetAfter;
+        return entry.second.suspectedAt.count != 0 && now - entry.second.suspectedAt > MemberRetention;
     });
 }
 
@@ -135,7 +135,7 @@
 
 bool Membership::isUp(const Member &member) const
 {
-    const bool suspected = member.suspectedAt.count != 0 && now_ - member.suspectedAt > RefutationPatience;
+    const bool suspected = member.suspectedAt.count != 0 && now_ - member.suspectedAt > SuspicionTimeout;
     return !member.gone && !suspected;
 }
 
@@ -163,15 +163,15 @@
     return alive().size();
 }
 
-std::vector<const Member *> Membership::someAlive(size_t count, Random &random) const
+std::vector<const Member *> Membership::randomAlive(size_t count, Random &random) const
 {
-    return pick(alive(), count, random);
+    return pickRandom(alive(), count, random);
 }
 
 // Suspected members are probed too, at a lower rate: after a network partition both sides suspect each other,
 // and only a probe reconnects them. A seed is probed in case this daemon knows no live member, or two groups
 // of daemons do not know each other.
-std::vector<std::pair<Incarnation, Address>> Membership::targets(Random &random, TimeMs now)
+std::vector<std::pair<Incarnation, Address>> Membership::probeTargets(Random &random, TimeMs now)
 {
     std::vector<std::pair<Incarnation, Address>> out;
     std::vector<Member *> live;
@@ -182,18 +182,18 @@
         else if (!entry.second.gone)
             suspected.push_back(&entry.second);
     }
-    for (Member *member : pick(std::move(live), Probes, random)) {
+    for (Member *member : pickRandom(std::move(live), ProbesPerRound, random)) {
         if (member->probedAt.count == 0)
             member->probedAt = now;
         out.emplace_back(member->info.incarnation, member->info.peerAddress);
     }
-    if (!suspected.empty() && round_ % RoundsPerSuspected == 0) {
+    if (!suspected.empty() && round_ % RoundsPerSuspectProbe == 0) {
         const Member &member = *suspected[random.below(suspected.size())];
         out.emplace_back(member.info.incarnation, member.info.peerAddress);
     }
-    const bool isNew = round_ < FirstSeedRounds;
+    const bool isNew = round_ < InitialSeedRounds;
     const bool needsSeed
-        = out.empty() || isNew || round_ % RoundsPerSeed == self_.incarnation.value % RoundsPerSeed;
+        = out.empty() || isNew || round_ % RoundsPerSeedProbe == self_.incarnation.value % RoundsPerSeedProbe;
     if (needsSeed && !seeds_.empty()) {
         const Address &seed = seeds_[random.below(seeds_.size())];
         if (seed != self_.peerAddress)
@@ -203,7 +203,7 @@
     return out;
 }
 
-std::vector<MemberInfo> Membership::news(Random &random)
+std::vector<MemberInfo> Membership::update(Random &random)
 {
     std::vector<MemberInfo> out;
     std::vector<const Member *> live;
@@ -212,17 +212,17 @@
         if (!isUp(member))
             continue;
         live.push_back(&member);
-        if (member.newsSendings > 0 && out.size() < MostNews) {
-            --member.newsSendings;
+        if (member.updateSendsLeft > 0 && out.size() < MaxUpdatesPerGossip) {
+            --member.updateSendsLeft;
             out.push_back(member.info);
         }
     }
-    for (size_t i = 0; i < std::min(RandomMembers, live.size()); ++i)
+    for (size_t i = 0; i < std::min(RandomMembersPerGossip, live.size()); ++i)
         out.push_back(live[random.below(live.size())]->info);
     return out;
 }
 
-std::vector<MemberInfo> Membership::everyone() const
+std::vector<MemberInfo> Membership::aliveInfos() const
 {
     std::vector<MemberInfo> out;
     for (const Member *member : alive())
@@ -230,14 +230,15 @@
     return out;
 }
 
-std::vector<Suspicion> Membership::suspicions()
+std::vector<Suspicion> Membership::takeSuspicions()
 {
     std::vector<Suspicion> out;
     for (std::pair<const Incarnation, Member> &entry : members_) {
         Member &member = entry.second;
-        if (member.suspectedAt.count == 0 || member.suspicionSendings == 0 || out.size() == MostNews)
+        if (member.suspectedAt.count == 0 || member.suspicionSendsLeft == 0
+            || out.size() == MaxUpdatesPerGossip)
             continue;
-        --member.suspicionSendings;
+        --member.suspicionSendsLeft;
         out.push_back({entry.first, member.info.version});
     }
     return out;
@@ -273,7 +274,7 @@
     // The daemon that moved writes its DaemonMoved mark once, so a second one cannot be valid.
     if (mark.kind == MarkKind::DaemonMoved && !moved_.try_emplace(mark.subject, mark.successor).second)
         return false;
-    if (!marks_.try_emplace(mark, State{NewsSendings, noticeEndsAt}).second)
+    if (!marks_.try_emplace(mark, State{SendsPerUpdate, noticeEndsAt}).second)
         return false;
     digest_ ^= hashOf(mark);
     return true;
@@ -300,23 +301,23 @@
     return incarnation;
 }
 
-std::vector<MarkNews> MarkTable::takeHot(size_t most, TimeMs now)
+std::vector<MarkUpdate> MarkTable::takePending(size_t maxCount, TimeMs now)
 {
-    std::vector<MarkNews> out;
+    std::vector<MarkUpdate> out;
     for (std::pair<const Mark, State> &entry : marks_) {
-        if (entry.second.sendings == 0)
+        if (entry.second.sendsLeft == 0)
             continue;
-        --entry.second.sendings;
+        --entry.second.sendsLeft;
         out.push_back({entry.first, std::max(DurationMs{0}, entry.second.noticeEndsAt - now)});
-        if (out.size() == most)
+        if (out.size() == maxCount)
             break;
     }
     return out;
 }
 
-std::vector<MarkNews> MarkTable::all(TimeMs now) const
+std::vector<MarkUpdate> MarkTable::all(TimeMs now) const
 {
-    std::vector<MarkNews> out;
+    std::vector<MarkUpdate> out;
     for (const std::pair<const Mark, State> &entry : marks_)
         out.push_back({entry.first, std::max(DurationMs{0}, entry.second.noticeEndsAt - now)});
     return out;
--- a/src/daemon/membership.h
+++ b/src/daemon/membership.h
@@ -13,8 +13,8 @@
     TimeMs probedAt; ///< Time of the oldest unanswered probe; 0: none.
     TimeMs suspectedAt; ///< 0: not suspected.
     bool gone = false; ///< Another incarnation replied at its address.
-    uint32_t newsSendings = 0; ///< Number of messages that are still to carry this entry.
-    uint32_t suspicionSendings = 0;
+    uint32_t updateSendsLeft = 0; ///< Number of messages that are still to carry this entry.
+    uint32_t suspicionSendsLeft = 0;
 };
 
 /// This daemon's view of its peers. It only decides which peer is preferred: no safety property depends on
@@ -34,8 +34,8 @@
     void setRevision(Revision revision) { self_.revision = revision; }
 
     /// Records the sender of a message, which is known to be alive and whose own revision is exact.
-    void heardFrom(const MemberInfo &sender, TimeMs now, Counters &counters);
-    void heardRevision(Incarnation from, Revision revision);
+    void recordContact(const MemberInfo &sender, TimeMs now, Counters &counters);
+    void recordRevision(Incarnation from, Revision revision);
     /// Merges an entry received from a third daemon.
     void merge(const MemberInfo &info, TimeMs now, Counters &counters);
     void suspect(const Suspicion &suspicion, TimeMs now);
@@ -47,16 +47,16 @@
     /// Returns the live members without this daemon, in order of incarnation.
     std::vector<const Member *> alive() const;
     size_t aliveCount() const;
-    std::vector<const Member *> someAlive(size_t count, Random &random) const;
+    std::vector<const Member *> randomAlive(size_t count, Random &random) const;
 
     /// Returns the probe targets of this round: random live members and, in some rounds, a suspected one or a
     /// seed.
-    std::vector<std::pair<Incarnation, Address>> targets(Random &random, TimeMs now);
+    std::vector<std::pair<Incarnation, Address>> probeTargets(Random &random, TimeMs now);
     /// Returns the changes to disseminate and a few random members, so that a peer which missed a change
     /// still receives it.
-    std::vector<MemberInfo> news(Random &random);
-    std::vector<MemberInfo> everyone() const;
-    std::vector<Suspicion> suspicions();
+    std::vector<MemberInfo> update(Random &random);
+    std::vector<MemberInfo> aliveInfos() const;
+    std::vector<Suspicion> takeSuspicions();
 
     /// Returns the number of other failure domains known to hold `revision` or a later one.
     size_t domainsWithRevision(Revision revision) const;
@@ -72,7 +72,7 @@
     std::map<Incarnation, Member> members_;
     TimeMs now_;
     uint64_t round_ = 0;
-    uint32_t selfSendings_ = 0;
+    uint32_t selfSendsLeft_ = 0;
 };
 
 /// A grow-only set of marks, each with the number of messages that are still to carry it.
@@ -85,14 +85,14 @@
     /// Follows DaemonMoved marks to the daemon that now holds the register of `incarnation`.
     Incarnation resolve(Incarnation incarnation) const;
 
-    std::vector<MarkNews> takeHot(size_t most, TimeMs now);
-    std::vector<MarkNews> all(TimeMs now) const;
+    std::vector<MarkUpdate> takePending(size_t maxCount, TimeMs now);
+    std::vector<MarkUpdate> all(TimeMs now) const;
     uint64_t digest() const { return digest_; }
     size_t size() const { return marks_.size(); }
 
 private:
     struct State {
-        uint32_t sendings = 0;
+        uint32_t sendsLeft = 0;
         TimeMs noticeEndsAt;
     };
     std::map<Mark, State> marks_;
--- a/src/daemon/messages.h
+++ b/src/daemon/messages.h
@@ -29,7 +29,7 @@
 };
 
 /// A mark as it is sent, with the time left of its notice (0 if no notice is known).
-struct MarkNews {
+struct MarkUpdate {
     Mark mark;
     DurationMs notice;
 };
@@ -64,7 +64,7 @@
     MemberInfo sender;
     std::vector<MemberInfo> members; ///< Recent updates and a few random members.
     std::vector<Suspicion> suspicions;
-    std::vector<MarkNews> marks;
+    std::vector<MarkUpdate> marks;
     uint64_t markDigest = 0;
     bool wantsMarks = false; ///< Asks for all marks, because the digests have differed for several messages.
     bool wantsMembers = false; ///< Asks for all members, because the sender has just started.
@@ -158,8 +158,8 @@
 };
 
 using PeerMessage
-    = std::variant<Gossip, ConfigurationHave, ConfigurationPush, OnceQuestion, OnceReply, RequestCopy,
-                   CopyAck, WitnessDrop, Fetch, FetchReply, RegisterTransfer, RegisterTransferAck, NotHere>;
+    = std::variant<Gossip, ConfigurationHave, ConfigurationPush, OnceQuery, OnceReply, RequestCopy, CopyAck,
+                   WitnessDrop, Fetch, FetchReply, RegisterTransfer, RegisterTransferAck, NotHere>;
 
 // ---- Events handled by the core ----
 
@@ -178,11 +178,11 @@
     uint64_t lineage = 0;
 };
 
-struct CallerGone {
+struct CallerDisconnected {
     CallerId caller;
 };
 
-struct CallerEntries { ///< Asks for the list of entries that the caller may use.
+struct CallerEntriesRequest { ///< Asks for the list of entries that the caller may use.
     CallerId caller;
     OrganisationName organisation;
     bool wantsSession = false;
@@ -208,7 +208,7 @@
     SaidNotRun, ///< The endpoint replied that it did not execute the request.
     AfterSend, ///< Failed after bytes were sent, in any way not listed here.
     Silent, ///< No data arrived within the service's progress timeout.
-    Ended ///< Failed after sending, and the port refused connections afterwards: the process exited.
+    EndpointExited ///< Failed after sending, and the port refused connections afterwards: the process exited.
 };
 
 struct EndpointFailed {
@@ -223,15 +223,15 @@
 };
 
 /// A validated configuration that was read from the platform's service.
-struct ConfigurationSeen {
+struct ConfigurationReceived {
     Revision revision;
     std::string text;
 };
 
-struct PlatformSilent {
+struct PlatformUnreachable {
 }; ///< The platform's service could not be read.
 
-struct LeavingSeen { ///< The cloud announced that the instance leaves after `notice`.
+struct LeavingNotice { ///< The cloud announced that the instance leaves after `notice`.
     InstanceName instance;
     DurationMs notice;
 };
@@ -247,9 +247,9 @@
     bool known = false; ///< False if the service did not reply or its reply was lost.
 };
 
-using Event = std::variant<Tick, CallerSubmit, CallerResume, CallerGone, CallerEntries, EndpointData,
-                           EndpointEnd, EndpointFailed, PeerInbound, ConfigurationSeen, PlatformSilent,
-                           LeavingSeen, DrainRequested, PlatformOnceReply>;
+using Event = std::variant<Tick, CallerSubmit, CallerResume, CallerDisconnected, CallerEntriesRequest,
+                           EndpointData, EndpointEnd, EndpointFailed, PeerInbound, ConfigurationReceived,
+                           PlatformUnreachable, LeavingNotice, DrainRequested, PlatformOnceReply>;
 
 // ---- Actions returned by the core ----
 
@@ -303,20 +303,20 @@
     Address address;
 };
 
-struct CallerElsewhere { ///< This entry takes no new work; it makes no statement about the request itself.
+struct CallerRedirected { ///< This entry takes no new work; it makes no statement about the request itself.
     CallerId caller;
     std::vector<Address> entries;
 };
 
-struct EntriesAnswer {
+struct CallerEntriesReply {
     CallerId caller;
     std::vector<Address> entries;
-    DurationMs keep;
+    DurationMs ttl;
     OnceKey session; ///< Registrar and session number; registrar 0 if no session was requested.
 };
 
-struct AskPlatform { ///< A query about a bare key, whose record the platform's service stores.
-    OnceQuestion question;
+struct QueryPlatform { ///< A query about a bare key, whose record the platform's service stores.
+    OnceQuery question;
 };
 
 struct ConfigurationInForce {
@@ -327,7 +327,7 @@
 }; ///< The drain is complete: the process may exit.
 
 using Action = std::variant<SendPeer, StartAttempt, CancelAttempt, CallerAccepted, CallerData, CallerEnd,
-                            CallerRefused, CallerMoved, CallerElsewhere, EntriesAnswer, AskPlatform,
+                            CallerRefused, CallerMoved, CallerRedirected, CallerEntriesReply, QueryPlatform,
                             ConfigurationInForce, Stopped>;
 
 } // namespace cranberry
--- a/src/daemon/once.cpp
+++ b/src/daemon/once.cpp
@@ -5,36 +5,36 @@
 
 namespace {
 
-constexpr DurationMs AskAgainAfter{100};
-constexpr uint32_t MaxAsks = 15;
+constexpr DurationMs QueryInterval{100};
+constexpr uint32_t MaxQueries = 15;
 
-OnceQuestion questionOf(const World &world, const Request &request, OnceAction action)
+OnceQuery queryOf(const World &world, const Request &request, OnceAction action)
 {
     const Incarnation movedFrom = request.movedFrom == world.self() ? Incarnation{} : request.movedFrom;
     return {action, request.spec->key, request.spec->attempt, request.id, movedFrom};
 }
 
-void sendQuestion(World &world, const Request &request, OnceAction action)
+void sendQuery(World &world, const Request &request, OnceAction action)
 {
-    const OnceQuestion question = questionOf(world, request, action);
-    if (question.key.isBare()) {
-        world.out.push_back(AskPlatform{question});
+    const OnceQuery query = queryOf(world, request, action);
+    if (query.key.isBare()) {
+        world.actions.push_back(QueryPlatform{query});
         return;
     }
-    const Incarnation registrar = world.marks.resolve(question.key.registrar);
+    const Incarnation registrar = world.marks.resolve(query.key.registrar);
     if (registrar == world.self()) {
-        const OnceReply reply{request.id, action, world.onceRegister.answer(question, world.self())};
+        const OnceReply reply{request.id, action, world.onceRegister.answer(query, world.self())};
         if (action != OnceAction::Finish)
             onOnceReply(world, reply);
         return;
     }
-    sendTo(world, registrar, question);
+    sendTo(world, registrar, query);
 }
 
-void endUnknown(World &world, Request &request, RefusalReason reason)
+void concludeUnknown(World &world, Request &request, RefusalReason reason)
 {
     request.once.giveUp();
-    conclude(world, request, {Outcome::Unknown, reason, DurationMs{0}});
+    endWithRefusal(world, request, {Outcome::Unknown, reason, DurationMs{0}});
 }
 
 // Another request holds the key, so the callers of this request follow that one's answer. If the key is held
@@ -42,12 +42,12 @@
 void followHolder(World &world, Request &request, const OnceAnswer &answer)
 {
     if (answer.request == request.id)
-        return endUnknown(world, request, RefusalReason::OwnerGone);
+        return concludeUnknown(world, request, RefusalReason::OwnerGone);
     const std::vector<Listener> listeners = std::move(request.listeners);
     request.listeners.clear();
     request.phase = RequestPhase::Moved;
     request.successor = answer.holder;
-    request.heldBy = answer.request;
+    request.holderRequest = answer.request;
     request.endedAt = world.now;
     for (const Listener &listener : listeners) {
         RequestId holder = answer.request;
@@ -60,20 +60,20 @@
 
 } // namespace
 
-void askRegister(World &world, Request &request)
+void queryRegister(World &world, Request &request)
 {
-    request.phase = RequestPhase::Asking;
-    request.askedAt = world.now;
-    ++request.asks;
+    request.phase = RequestPhase::AwaitingRegister;
+    request.lastSentAt = world.now;
+    ++request.registerQueries;
     const bool refusing = request.once.phase() == OnceAttempt::Phase::Refusing;
-    sendQuestion(world, request, refusing ? OnceAction::Refuse : OnceAction::Acquire);
+    sendQuery(world, request, refusing ? OnceAction::Refuse : OnceAction::Acquire);
 }
 
-void onOnceQuestion(World &world, Incarnation from, const OnceQuestion &question)
+void onOnceQuery(World &world, Incarnation from, const OnceQuery &query)
 {
-    const OnceAnswer answer = world.onceRegister.answer(question, from);
-    if (question.action != OnceAction::Finish)
-        sendTo(world, from, OnceReply{question.request, question.action, answer});
+    const OnceAnswer answer = world.onceRegister.answer(query, from);
+    if (query.action != OnceAction::Finish)
+        sendTo(world, from, OnceReply{query.request, query.action, answer});
 }
 
 void onOnceReply(World &world, const OnceReply &reply)
@@ -90,25 +90,25 @@
         if (!reply.answer.holder)
             return; // The successor is not confirmed yet; tickOnce queries again.
         addMark(world, {MarkKind::DaemonMoved, {}, request.spec->key.registrar, reply.answer.holder}, {});
-        askRegister(world, request);
+        queryRegister(world, request);
         return;
     }
     request.once.answered(reply.answer.verdict);
     switch (request.once.phase()) {
     case OnceAttempt::Phase::Granted:
         enqueue(world, request);
-        runQueue(world);
+        dispatchQueue(world);
         break;
     case OnceAttempt::Phase::Elsewhere:
         followHolder(world, request, reply.answer);
         break;
     case OnceAttempt::Phase::Refused:
-        conclude(world, request,
-                 refusing ? request.pendingRefusal
-                          : Refusal{Outcome::NotRun, RefusalReason::KeyRefused, DurationMs{0}});
+        endWithRefusal(world, request,
+                       refusing ? request.pendingRefusal
+                                : Refusal{Outcome::NotRun, RefusalReason::KeyRefused, DurationMs{0}});
         break;
     case OnceAttempt::Phase::Unknown:
-        endUnknown(world, request, RefusalReason::KeyUnknown);
+        concludeUnknown(world, request, RefusalReason::KeyUnknown);
         break;
     default:
         break;
@@ -121,10 +121,10 @@
         onOnceReply(world, event.reply);
 }
 
-void noteFinished(World &world, const Request &request)
+void reportFinished(World &world, const Request &request)
 {
     if (request.spec->key.isSet() && !request.spec->key.isBare())
-        sendQuestion(world, request, OnceAction::Finish);
+        sendQuery(world, request, OnceAction::Finish);
 }
 
 // Never infers from a timeout whether a request ran. Without a reply from the register, the request is not
@@ -132,19 +132,19 @@
 void tickOnce(World &world, Request &request)
 {
     if (!request.once.waitsForRegister()
-        || world.now - request.askedAt < AskAgainAfter * (1 + request.asks / 4))
+        || world.now - request.lastSentAt < QueryInterval * (1 + request.registerQueries / 4))
         return;
     const Incarnation registrar = world.marks.resolve(request.spec->key.registrar);
     const Member *member = world.members.find(registrar);
     const bool gone = !request.spec->key.isBare() && registrar != world.self() && member && member->gone;
     if (gone)
-        endUnknown(world, request, RefusalReason::KeyUnknown);
-    else if (request.asks >= MaxAsks)
-        endUnknown(world, request,
-                   request.spec->key.isBare() ? RefusalReason::PlatformSilent
-                                              : RefusalReason::RegisterSilent);
+        concludeUnknown(world, request, RefusalReason::KeyUnknown);
+    else if (request.registerQueries >= MaxQueries)
+        concludeUnknown(world, request,
+                        request.spec->key.isBare() ? RefusalReason::PlatformSilent
+                                                   : RefusalReason::RegisterSilent);
     else
-        askRegister(world, request);
+        queryRegister(world, request);
 }
 
 } // namespace cranberry
--- a/src/daemon/onceattempt.cpp
+++ b/src/daemon/onceattempt.cpp
@@ -8,7 +8,7 @@
 {
     if (phase_ == Phase::Unkeyed || phase_ == Phase::Granted)
         return true;
-    return phase_ == Phase::Asking && !isOn(Safeguard::RegisterBeforeDispatch);
+    return phase_ == Phase::Acquiring && !isOn(Safeguard::RegisterBeforeDispatch);
 }
 
 void OnceAttempt::dispatched()
@@ -31,7 +31,7 @@
         return;
     switch (verdict) {
     case OnceVerdict::Granted:
-        if (phase_ == Phase::Asking)
+        if (phase_ == Phase::Acquiring)
             phase_ = Phase::Granted;
         break;
     case OnceVerdict::HeldElsewhere:
--- a/src/daemon/onceattempt.h
+++ b/src/daemon/onceattempt.h
@@ -11,7 +11,7 @@
 public:
     enum class Phase : uint8_t {
         Unkeyed, ///< No key: only this entry daemon can run the request.
-        Asking, ///< An acquire query is in flight.
+        Acquiring, ///< An acquire query is in flight.
         Granted, ///< The register granted the key; the request may be dispatched.
         Dispatched, ///< Bytes of the request may have been sent to an endpoint.
         Refusing, ///< A refuse query is in flight; the request is never dispatched.
@@ -22,13 +22,13 @@
     };
 
     Phase phase() const { return phase_; }
-    bool waitsForRegister() const { return phase_ == Phase::Asking || phase_ == Phase::Refusing; }
+    bool waitsForRegister() const { return phase_ == Phase::Acquiring || phase_ == Phase::Refusing; }
     bool mayDispatch() const;
     bool mayMove() const { return phase_ != Phase::Dispatched && phase_ != Phase::Refusing; }
     /// Returns true if "not run" may be reported without a register query.
     bool mayRefuseAtOnce() const { return phase_ == Phase::Unkeyed; }
 
-    void ask() { phase_ = Phase::Asking; }
+    void acquire() { phase_ = Phase::Acquiring; }
     void refuse() { phase_ = Phase::Refusing; }
     void move() { phase_ = Phase::Moved; }
     void giveUp() { phase_ = Phase::Unknown; }
--- a/src/daemon/onceregister.cpp
+++ b/src/daemon/onceregister.cpp
@@ -16,59 +16,59 @@
     return {OnceVerdict::HeldElsewhere, record.holder, record.request};
 }
 
-OnceAnswer acquireOnce(OnceRecord &record, const OnceQuestion &question, Incarnation asker)
+OnceAnswer acquireOnce(OnceRecord &record, const OnceQuery &query, Incarnation requester)
 {
     // Step 1. A refused attempt stays refused. Otherwise a duplicate in a paused entry daemon could acquire
     // the key after the caller received "not run". The record is sufficient, since every grant checks it.
-    if (question.attempt <= record.refusedThrough)
+    if (query.attempt <= record.refusedThrough)
         return {OnceVerdict::Refused, {}, {}};
 
     // Step 2. Grant the key to the first requester.
     if (record.state == OnceState::Absent) {
         record.state = OnceState::Granted;
-        record.holder = asker;
-        record.request = question.request;
-        return {OnceVerdict::Granted, asker, question.request};
+        record.holder = requester;
+        record.request = query.request;
+        return {OnceVerdict::Granted, requester, query.request};
     }
 
     // Step 3. Grant again on a repeated query by the holder, or after a handover by the holder. A handover
     // from any other daemon is a late duplicate of an earlier one and must not restore a grant.
-    const bool same = record.state == OnceState::Granted && record.request == question.request;
-    if (same && record.holder == asker)
-        return {OnceVerdict::Granted, asker, question.request};
-    const bool byHolder = record.holder == question.movedFrom || !isOn(Safeguard::MoveOnlyFromHolder);
-    if (same && question.movedFrom && byHolder) {
-        record.holder = asker;
-        return {OnceVerdict::Granted, asker, question.request};
+    const bool sameRequest = record.state == OnceState::Granted && record.request == query.request;
+    if (sameRequest && record.holder == requester)
+        return {OnceVerdict::Granted, requester, query.request};
+    const bool byHolder = record.holder == query.movedFrom || !isOn(Safeguard::TransferOnlyFromHolder);
+    if (sameRequest && query.movedFrom && byHolder) {
+        record.holder = requester;
+        return {OnceVerdict::Granted, requester, query.request};
     }
     return heldElsewhere(record);
 }
 
-OnceAnswer refuseOnce(OnceRecord &record, const OnceQuestion &question, Incarnation asker)
+OnceAnswer refuseOnce(OnceRecord &record, const OnceQuery &query, Incarnation requester)
 {
-    const bool own
-        = record.state == OnceState::Granted && record.request == question.request && record.holder == asker;
-    if (record.state != OnceState::Absent && !own)
+    const bool heldByRequester
+        = record.state == OnceState::Granted && record.request == query.request && record.holder == requester;
+    if (record.state != OnceState::Absent && !heldByRequester)
         return heldElsewhere(record);
-    if (isOn(Safeguard::RefusalIsWritten))
-        record.refusedThrough = std::max(record.refusedThrough, question.attempt);
+    if (isOn(Safeguard::RecordRefusalBeforeReply))
+        record.refusedThrough = std::max(record.refusedThrough, query.attempt);
     record.state = OnceState::Absent;
     return {OnceVerdict::Refused, {}, {}};
 }
 
 } // namespace
 
-OnceAnswer applyOnce(OnceRecord &record, const OnceQuestion &question, Incarnation asker)
+OnceAnswer applyOnce(OnceRecord &record, const OnceQuery &query, Incarnation requester)
 {
-    switch (question.action) {
+    switch (query.action) {
     case OnceAction::Acquire:
-        return acquireOnce(record, question, asker);
+        return acquireOnce(record, query, requester);
     case OnceAction::Refuse:
-        return refuseOnce(record, question, asker);
+        return refuseOnce(record, query, requester);
     case OnceAction::Finish:
         break;
     }
-    if (record.state == OnceState::Granted && record.request == question.request)
+    if (record.state == OnceState::Granted && record.request == query.request)
         record.state = OnceState::Done;
     return heldElsewhere(record);
 }
@@ -90,7 +90,7 @@
     return found == sessions_.end() ? nullptr : &found->second;
 }
 
-void OnceRegister::forgetOldest(OnceSession &session)
+void OnceRegister::evictOldest(OnceSession &session)
 {
     while (session.records.size() > MaxRecordsPerSession) {
         session.floor = std::max(session.floor, session.records.begin()->first);
@@ -98,18 +98,18 @@
     }
 }
 
-OnceAnswer OnceRegister::answer(const OnceQuestion &question, Incarnation asker)
+OnceAnswer OnceRegister::answer(const OnceQuery &query, Incarnation requester)
 {
     // A sealed register grants nothing. Otherwise a daemon that was paused while its successor already grants
     // could resume and grant the same key. Sealing before the sessions are sent is sufficient, because a
     // seal is permanent and does not depend on a clock.
-    if (isSealed() && isOn(Safeguard::SealBeforeMove))
+    if (isSealed() && isOn(Safeguard::SealBeforeTransfer))
         return {OnceVerdict::Sealed, successor_, {}};
-    OnceSession *session = findSession(question.key);
-    if (!session || question.key.sequence <= session->floor)
+    OnceSession *session = findSession(query.key);
+    if (!session || query.key.sequence <= session->floor)
         return {OnceVerdict::Unknown, {}, {}};
-    const OnceAnswer out = applyOnce(session->records[question.key.sequence], question, asker);
-    forgetOldest(*session);
+    const OnceAnswer out = applyOnce(session->records[query.key.sequence], query, requester);
+    evictOldest(*session);
     return out;
 }
 
--- a/src/daemon/onceregister.h
+++ b/src/daemon/onceregister.h
@@ -38,7 +38,7 @@
 /// The operations on one key of a register.
 enum class OnceAction : uint8_t { Acquire, Refuse, Finish };
 
-struct OnceQuestion {
+struct OnceQuery {
     OnceAction action = OnceAction::Acquire;
     OnceKey key;
     uint32_t attempt = 1;
@@ -47,7 +47,7 @@
 };
 
 /// Applies a query to the record of one key. The daemons' registers and the platform service share this rule.
-OnceAnswer applyOnce(OnceRecord &record, const OnceQuestion &question, Incarnation asker);
+OnceAnswer applyOnce(OnceRecord &record, const OnceQuery &query, Incarnation requester);
 
 /// The key records of one session by sequence number. Records up to `floor` have been evicted.
 struct OnceSession {
@@ -68,7 +68,7 @@
 
     uint64_t openSession();
 
-    OnceAnswer answer(const OnceQuestion &question, Incarnation asker);
+    OnceAnswer answer(const OnceQuery &query, Incarnation requester);
 
     /// Permanently stops granting and returns all sessions for transfer to the successor.
     std::vector<OnceSession> seal();
@@ -85,7 +85,7 @@
 
 private:
     OnceSession *findSession(const OnceKey &key);
-    void forgetOldest(OnceSession &session);
+    void evictOldest(OnceSession &session);
 
     Incarnation self_;
     Incarnation successor_;
--- a/src/daemon/peercodec.cpp
+++ b/src/daemon/peercodec.cpp
@@ -159,7 +159,7 @@
         wireSuspicion.set_incarnation(suspicion.incarnation.value);
         wireSuspicion.set_version(suspicion.version);
     }
-    for (const MarkNews &news : m.marks) {
+    for (const MarkUpdate &news : m.marks) {
         wire::Mark &wireMark = *to.add_marks();
         wireMark.set_kind(static_cast<uint32_t>(news.mark.kind));
         wireMark.set_instance(news.mark.instance.value);
@@ -211,7 +211,7 @@
     out.mutable_configuration_push()->set_text(m.text);
 }
 
-void put(wire::Envelope &out, const OnceQuestion &m)
+void put(wire::Envelope &out, const OnceQuery &m)
 {
     wire::OnceQuestion &to = *out.mutable_once_question();
     to.set_action(static_cast<uint32_t>(m.action));
@@ -224,11 +224,11 @@
 PeerMessage get(const wire::OnceQuestion &from)
 {
     // An unknown action is decoded as Finish, the one that changes the least state.
-    return OnceQuestion{enumFrom(from.action(), OnceAction::Finish, OnceAction::Finish),
-                        get(from.key()),
-                        from.attempt(),
-                        get(from.request()),
-                        {from.moved_from()}};
+    return OnceQuery{enumFrom(from.action(), OnceAction::Finish, OnceAction::Finish),
+                     get(from.key()),
+                     from.attempt(),
+                     get(from.request()),
+                     {from.moved_from()}};
 }
 
 void put(wire::Envelope &out, const OnceReply &m)
--- a/src/daemon/request.cpp
+++ b/src/daemon/request.cpp
@@ -17,7 +17,7 @@
 // the branch. Lineages are random numbers, so two daemons that both take over a request never share one.
 uint64_t commonOffset(const std::vector<Branch> &branches, uint64_t lineage, uint64_t offset)
 {
-    if (!isOn(Safeguard::CutAtBranch))
+    if (!isOn(Safeguard::ResumeAtCommonText))
         return offset;
     auto known = std::find_if(branches.begin(), branches.end(),
                               [lineage](const Branch &branch) { return branch.lineage == lineage; });
--- a/src/daemon/request.h
+++ b/src/daemon/request.h
@@ -9,14 +9,14 @@
 namespace cranberry {
 
 enum class RequestPhase : uint8_t {
-    Asking, ///< Waits for the register's reply to an acquire or a refusal.
+    AwaitingRegister, ///< Waits for the register's reply to an acquire or a refusal.
     Queued, ///< Waits for an endpoint with a free slot.
     Running, ///< An attempt is in progress on an endpoint.
-    Waiting, ///< Backs off before the next attempt.
+    BackingOff, ///< Backs off before the next attempt.
     Moving, ///< The handover to the successor is not confirmed yet.
     Moved, ///< Another daemon owns the request, or another request holds its key.
     Ended, ///< The answer is complete.
-    Given ///< Concluded without an answer: refused, or the outcome is unknown.
+    GivenUp ///< Concluded without an answer: refused, or the outcome is unknown.
 };
 
 /// A caller's connection that receives the answer of this request.
@@ -35,27 +35,27 @@
     TimeMs deadlineAt;
 
     OnceAttempt once;
-    Incarnation askedRegister;
+    Incarnation queriedRegister;
     Incarnation movedFrom; ///< The daemon that handed the request over to this one.
-    TimeMs askedAt; ///< When the last register query, handover or attempt was sent.
-    uint32_t asks = 0;
+    TimeMs lastSentAt; ///< When the last register query, handover or attempt was sent.
+    uint32_t registerQueries = 0;
     Refusal pendingRefusal; ///< Sent to the callers when the register has recorded the refusal.
 
     Incarnation witness; ///< The daemon last asked to hold a copy.
-    bool witnessed = false; ///< The witness confirmed its copy, or no other daemon is alive.
-    uint32_t witnessAsks = 0;
-    TimeMs witnessAskedAt;
+    bool witnessConfirmed = false; ///< The witness confirmed its copy, or no other daemon is alive.
+    uint32_t witnessQueries = 0;
+    TimeMs witnessQueriedAt;
 
     AttemptId attempt;
     EndpointName endpoint;
-    EndpointName avoid;
+    EndpointName avoidEndpoint;
     uint64_t workTokens = 0;
     RequestDigest digest; ///< Equal for every retry by the caller.
     uint32_t tries = 0;
     TimeMs retryAt;
-    bool owesRetry = false; ///< The next attempt must be paid for from the retry budget.
-    bool maybeRan = false; ///< An earlier attempt may have run on an endpoint.
-    std::optional<TimeMs> moveAt; ///< When to move off an endpoint that is leaving.
+    bool needsRetryBudget = false; ///< The next attempt must be paid for from the retry budget.
+    bool possiblyRan = false; ///< An earlier attempt may have run on an endpoint.
+    std::optional<TimeMs> moveDueAt; ///< When to move off an endpoint that is leaving.
 
     std::string text;
     uint32_t generatedTokens = 0;
@@ -65,7 +65,7 @@
     TimeMs endedAt;
     bool delivered = false; ///< At least one caller has received the complete answer.
     Incarnation successor; ///< In phase Moved: the daemon to read the answer from.
-    RequestId heldBy; ///< In phase Moved: the request that supplies the answer.
+    RequestId holderRequest; ///< In phase Moved: the request that supplies the answer.
     bool witnessDropped = false;
     std::vector<Listener> listeners;
 
@@ -77,16 +77,16 @@
 struct Follower {
     CallerId caller;
     RequestId request;
-    Incarnation asking; ///< The daemon that the current query was sent to.
+    Incarnation queriedDaemon; ///< The daemon that the current query was sent to.
     uint64_t offset = 0;
     uint64_t lineage = 0;
     uint64_t tag = 0;
-    TimeMs askedAt;
+    TimeMs queriedAt;
     TimeMs progressAt; ///< When a daemon that knows the request last replied.
     uint32_t misses = 0;
     uint32_t redirects = 0; ///< Redirects followed since progressAt.
     bool claim = false;
-    Incarnation notAt; ///< A daemon that replied that it does not know the request.
+    Incarnation unknownAt; ///< A daemon that replied that it does not know the request.
 };
 
 /// The copy of a request that this daemon holds as witness for the owner.
--- a/src/daemon/routing.cpp
+++ b/src/daemon/routing.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr DurationMs FirstPause{250};
+constexpr DurationMs InitialPause{250};
 constexpr uint32_t MaxPauseDoublings = 5;
 constexpr uint32_t SampleTries = 16;
 constexpr double TokensPerBlock = PrefixIndex::BlockBytes / 4.0;
@@ -99,87 +99,88 @@
 
 // Returns a weighted prediction of the time to first token in milliseconds: the wait behind this daemon's
 // outstanding work, plus prefill of the tokens that the endpoint is not expected to have cached.
-double EndpointTable::cost(uint32_t index, const RoutingQuestion &question) const
+double EndpointTable::cost(uint32_t index, const RoutingQuery &query) const
 {
     const EndpointState &state = endpoints_[index];
-    const double perToken = 1000.0 / question.service.prefillTokensPerSecond;
-    const double held = static_cast<double>(prefixes_.overlap(question.prefix, index)) * TokensPerBlock;
-    const double uncached = std::max(0.0, static_cast<double>(question.workTokens) - held);
+    const double perToken = 1000.0 / query.service.prefillTokensPerSecond;
+    const double cachedPrefixTokens
+        = static_cast<double>(prefixes_.overlap(query.prefix, index)) * TokensPerBlock;
+    const double uncached = std::max(0.0, static_cast<double>(query.workTokens) - cachedPrefixTokens);
     const double waiting = static_cast<double>(state.outstandingTokens) / state.endpoint.slots;
-    return perToken * (question.weights.latency * waiting + question.weights.recomputedTokens * uncached);
+    return perToken * (query.weights.latency * waiting + query.weights.recomputedTokens * uncached);
 }
 
 // The mark excludes a leaving endpoint that still responds during its notice while the instance list lags
 // behind. Checking the mark at each selection is sufficient, since attempts start nowhere else.
-bool EndpointTable::isUsable(uint32_t index, const RoutingQuestion &question, const MarkTable &marks,
+bool EndpointTable::isUsable(uint32_t index, const RoutingQuery &query, const MarkTable &marks,
                              TimeMs now) const
 {
     const EndpointState &state = endpoints_[index];
-    const bool leaving = marks.isLeaving(state.endpoint.instance) && isOn(Safeguard::LeavingMarks);
-    return state.service == question.service.name && state.running < state.endpoint.slots
-        && state.avoidUntil <= now && state.endpoint.name != question.avoid && !leaving;
+    const bool leaving = marks.isLeaving(state.endpoint.instance) && isOn(Safeguard::AvoidLeavingEndpoints);
+    return state.service == query.service.name && state.running < state.endpoint.slots
+        && state.avoidUntil <= now && state.endpoint.name != query.avoidEndpoint && !leaving;
 }
 
 // Returns two usable endpoints drawn at random, which takes few draws if most endpoints are usable. If
 // SampleTries draws don't find two, or in a small service, returns all usable endpoints.
-std::vector<uint32_t> EndpointTable::candidates(const RoutingQuestion &question, const MarkTable &marks,
-                                                TimeMs now, Random &random) const
+std::vector<uint32_t> EndpointTable::candidates(const RoutingQuery &query, const MarkTable &marks, TimeMs now,
+                                                Random &random) const
 {
-    auto service = services_.find(question.service.name);
+    auto service = services_.find(query.service.name);
     if (service == services_.end())
         return {};
     const std::vector<uint32_t> &all = service->second.endpoints;
     std::vector<uint32_t> out;
     for (uint32_t i = 0; all.size() > SampleTries && i < SampleTries && out.size() < 2; ++i) {
         const uint32_t index = all[random.below(all.size())];
-        if ((out.empty() || out.front() != index) && isUsable(index, question, marks, now))
+        if ((out.empty() || out.front() != index) && isUsable(index, query, marks, now))
             out.push_back(index);
     }
     if (out.size() == 2)
         return out;
     out.clear();
     for (const uint32_t index : all) {
-        if (isUsable(index, question, marks, now))
+        if (isUsable(index, query, marks, now))
             out.push_back(index);
     }
     return out;
 }
 
-std::optional<uint32_t> EndpointTable::choose(const RoutingQuestion &question, const MarkTable &marks,
-                                              TimeMs now, Random &random)
+std::optional<uint32_t> EndpointTable::choose(const RoutingQuery &query, const MarkTable &marks, TimeMs now,
+                                              Random &random)
 {
     // Step 1. Collect candidates of this service with a free slot, not leaving and not paused after a
     // failure.
-    const std::vector<uint32_t> usable = candidates(question, marks, now, random);
+    const std::vector<uint32_t> usable = candidates(query, marks, now, random);
     if (usable.empty())
         return std::nullopt;
 
     // Step 2. Compare two random candidates and the endpoint with the longest known prefix; the lowest cost
     // wins.
-    const std::optional<uint32_t> holder = prefixes_.longest(question.prefix);
+    const std::optional<uint32_t> holder = prefixes_.longest(query.prefix);
     const size_t first = random.below(usable.size());
     const size_t second = (first + 1 + random.below(usable.size() - 1)) % usable.size();
-    std::vector<uint32_t> tried = {usable[first], usable[second]};
-    if (holder && isUsable(*holder, question, marks, now))
-        tried.push_back(*holder);
-    uint32_t best = tried.front();
+    std::vector<uint32_t> finalists = {usable[first], usable[second]};
+    if (holder && isUsable(*holder, query, marks, now))
+        finalists.push_back(*holder);
+    uint32_t best = finalists.front();
     double bestCost = std::numeric_limits<double>::max();
-    for (const uint32_t index : tried) {
-        const double price = cost(index, question);
-        if (price < bestCost) {
+    for (const uint32_t index : finalists) {
+        const double candidateCost = cost(index, query);
+        if (candidateCost < bestCost) {
             best = index;
-            bestCost = price;
+            bestCost = candidateCost;
         }
     }
     return best;
 }
 
-void EndpointTable::started(uint32_t index, const RoutingQuestion &question)
+void EndpointTable::started(uint32_t index, const RoutingQuery &query)
 {
     endpoints_[index].running += 1;
     services_[endpoints_[index].service].running += 1;
-    endpoints_[index].outstandingTokens += question.workTokens;
-    prefixes_.store(question.prefix, index);
+    endpoints_[index].outstandingTokens += query.workTokens;
+    prefixes_.store(query.prefix, index);
 }
 
 void EndpointTable::finished(const EndpointName &name, uint64_t workTokens)
@@ -209,7 +210,7 @@
         return;
     EndpointState &state = endpoints_[*index];
     state.failures = std::min(state.failures + 1, MaxPauseDoublings);
-    state.avoidUntil = now + FirstPause * (1 << (state.failures - 1));
+    state.avoidUntil = now + InitialPause * (1 << (state.failures - 1));
 }
 
 uint32_t EndpointTable::usableSlots(const ServiceName &service, const MarkTable &marks) const
--- a/src/daemon/routing.h
+++ b/src/daemon/routing.h
@@ -46,12 +46,12 @@
     std::vector<Slot> slots_;
 };
 
-struct RoutingQuestion {
+struct RoutingQuery {
     const Service &service;
     const RoutingWeights &weights;
     std::vector<uint64_t> prefix; ///< PrefixIndex::blockHashes of the prompt.
     uint64_t workTokens = 0;
-    EndpointName avoid; ///< The endpoint of the last failed attempt; not chosen.
+    EndpointName avoidEndpoint; ///< The endpoint of the last failed attempt; not chosen.
 };
 
 /// The endpoints of the active configuration, and endpoint selection.
@@ -61,12 +61,12 @@
     void configure(const Configuration &configuration);
 
     /// Selects the endpoint for a request. Returns nullopt if no usable endpoint has a free slot.
-    std::optional<uint32_t> choose(const RoutingQuestion &question, const MarkTable &marks, TimeMs now,
+    std::optional<uint32_t> choose(const RoutingQuery &query, const MarkTable &marks, TimeMs now,
                                    Random &random);
 
     EndpointState &at(uint32_t index) { return endpoints_[index]; }
     std::optional<uint32_t> find(const EndpointName &name) const;
-    void started(uint32_t index, const RoutingQuestion &question);
+    void started(uint32_t index, const RoutingQuery &query);
     void finished(const EndpointName &name, uint64_t workTokens);
     void succeeded(const EndpointName &name);
     void failed(const EndpointName &name, TimeMs now);
@@ -86,10 +86,10 @@
                                                ///< removed, so an equal count means no change.
     };
 
-    bool isUsable(uint32_t index, const RoutingQuestion &question, const MarkTable &marks, TimeMs now) const;
-    std::vector<uint32_t> candidates(const RoutingQuestion &question, const MarkTable &marks, TimeMs now,
+    bool isUsable(uint32_t index, const RoutingQuery &query, const MarkTable &marks, TimeMs now) const;
+    std::vector<uint32_t> candidates(const RoutingQuery &query, const MarkTable &marks, TimeMs now,
                                      Random &random) const;
-    double cost(uint32_t index, const RoutingQuestion &question) const;
+    double cost(uint32_t index, const RoutingQuery &query) const;
 
     std::vector<EndpointState> endpoints_;
     std::map<EndpointName, uint32_t> byName_;
--- a/src/daemon/safeguards.h
+++ b/src/daemon/safeguards.h
@@ -8,16 +8,16 @@
 enum class Safeguard : uint8_t {
     RegisterBeforeDispatch, ///< Dispatches a request with a key only under a grant of its register.
     NoResendAfterSend, ///< Never retries a non-idempotent request once a byte may have been sent.
-    RefusalIsWritten, ///< Records "not run" for a key before reporting it to the caller.
-    SealBeforeMove, ///< A register that was transferred never grants again.
-    MoveOnlyFromHolder, ///< Transfers a grant only on behalf of the daemon that holds it.
-    LeavingMarks, ///< Selects no endpoint whose instance is marked as leaving.
-    RevisionOnlyGrows, ///< An older configuration never replaces a newer one.
+    RecordRefusalBeforeReply, ///< Records "not run" for a key before reporting it to the caller.
+    SealBeforeTransfer, ///< A register that was transferred never grants again.
+    TransferOnlyFromHolder, ///< Transfers a grant only on behalf of the daemon that holds it.
+    AvoidLeavingEndpoints, ///< Selects no endpoint whose instance is marked as leaving.
+    MonotonicRevision, ///< An older configuration never replaces a newer one.
     WitnessBeforeAccept, ///< Accepts a request only after another daemon holds its copy.
     HandoverOnReclaim, ///< A daemon on a reclaimed instance hands over unfinished requests.
-    CutAtBranch, ///< Resumes an answer where the old and the new text still agree.
+    ResumeAtCommonText, ///< Resumes an answer where the old and the new text still agree.
     ConfirmBeforeAccepted, ///< Reports a change as accepted only after other failure domains confirm.
-    ReadBackLostAnswer, ///< Reads the configuration back after a write without a reply.
+    ReadBackAfterLostReply, ///< Reads the configuration back after a write without a reply.
     Count
 };
 
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -13,8 +13,8 @@
     reader.required("adminAddress", settings.adminAddress);
     reader.required("peerAddress", settings.peerAddress);
     reader.required("platformAddress", settings.platformAddress);
-    reader.optional("entryKeepMs", settings.entryKeep);
-    reader.optional("answerKeepMs", settings.answerKeep);
+    reader.optional("entryKeepMs", settings.entriesTtl);
+    reader.optional("answerKeepMs", settings.answerRetention);
     reader.optional("drainLimitMs", settings.drainLimit);
     reader.optional("maxBodyBytes", settings.maxBodyBytes, 1024, 1U << 28);
     for (const std::pair<const boost::json::value *, std::string> &element :
--- a/src/daemon/submit.cpp
+++ b/src/daemon/submit.cpp
@@ -10,7 +10,7 @@
 
 constexpr DurationMs DefaultDeadline{120000};
 constexpr DurationMs MaxQueueWait{5000};
-constexpr size_t EntriesPerAnswer = 3;
+constexpr size_t EntriesPerResponse = 3;
 constexpr DurationMs NotReadyRetry{500};
 constexpr DurationMs NoEndpointRetry{1000};
 constexpr uint32_t DefaultMaxTokens = 256;
@@ -39,8 +39,8 @@
     const size_t ahead = world.queue.size() + running;
     if (ahead < slots)
         return {0};
-    const double turns = static_cast<double>(ahead - slots + 1) / slots;
-    return {static_cast<int64_t>(turns * world.serviceMs)};
+    const double rounds = static_cast<double>(ahead - slots + 1) / slots;
+    return {static_cast<int64_t>(rounds * world.meanAttemptMs)};
 }
 
 Admission admit(World &world, const RequestSpec &spec, RequestDigest digest, uint64_t work)
@@ -62,10 +62,9 @@
     if (!dependenciesHaveSlots(world, *service))
         return refused(RefusalReason::DependencyShort, NoEndpointRetry);
     const DurationMs wait = predictedWait(world, service->name, slots);
-    const DurationMs patience
-        = spec.deadline.count > 0 ? std::min(spec.deadline, MaxQueueWait) : MaxQueueWait;
-    if (wait > patience)
-        return refused(RefusalReason::Overloaded, wait - patience / 2);
+    const DurationMs maxWait = spec.deadline.count > 0 ? std::min(spec.deadline, MaxQueueWait) : MaxQueueWait;
+    if (wait > maxWait)
+        return refused(RefusalReason::Overloaded, wait - maxWait / 2);
     const std::optional<DurationMs> limited
         = world.limits.take(*organisation, work, world.members.aliveCount() + 1, world.now);
     if (limited)
@@ -125,7 +124,7 @@
             const MemberInfo &info = *entry.second;
             const bool known = std::find(used.begin(), used.end(), info.failureDomain) != used.end();
             const bool taken = std::find(out.begin(), out.end(), info.callerAddress) != out.end();
-            if (out.size() == EntriesPerAnswer || taken || (onlyNewDomains && known))
+            if (out.size() == EntriesPerResponse || taken || (onlyNewDomains && known))
                 continue;
             out.push_back(info.callerAddress);
             used.push_back(info.failureDomain);
@@ -134,20 +133,20 @@
     return out;
 }
 
-void onCallerEntries(World &world, const CallerEntries &event)
+void onCallerEntriesRequest(World &world, const CallerEntriesRequest &event)
 {
-    EntriesAnswer answer{event.caller, entriesFor(world, event.organisation), world.entryKeep, {}};
+    CallerEntriesReply answer{event.caller, entriesFor(world, event.organisation), world.entryKeep, {}};
     if (event.wantsSession && !world.drain.active) {
         answer.session.registrar = world.self();
         answer.session.session = world.onceRegister.openSession();
     }
-    world.out.push_back(answer);
+    world.actions.push_back(answer);
 }
 
 void refuseCaller(World &world, CallerId caller, const Refusal &refusal)
 {
     world.counters.add(refusal.reason);
-    world.out.push_back(CallerRefused{caller, refusal});
+    world.actions.push_back(CallerRefused{caller, refusal});
 }
 
 void onCallerSubmit(World &world, const CallerSubmit &event)
@@ -156,8 +155,8 @@
 
     // Step 1. A draining daemon accepts no requests. It redirects the caller without stating an outcome.
     if (world.drain.active) {
-        world.counters.add(Counter::SentElsewhere);
-        world.out.push_back(CallerElsewhere{event.caller, entriesFor(world, event.spec.organisation)});
+        world.counters.add(Counter::SentToOtherDaemon);
+        world.actions.push_back(CallerRedirected{event.caller, entriesFor(world, event.spec.organisation)});
         return;
     }
 
@@ -189,16 +188,16 @@
 
     // Step 4. Copy the request to the witness and, in parallel, query the register or enqueue the request.
     const RequestId id = stored.id;
-    askWitness(world, stored);
+    sendWitnessCopy(world, stored);
     if (stored.spec->key.isSet()) {
-        stored.once.ask();
-        askRegister(world, stored);
+        stored.once.acquire();
+        queryRegister(world, stored);
         if (!isOn(Safeguard::RegisterBeforeDispatch))
             enqueue(world, stored);
     } else {
         enqueue(world, stored);
     }
-    runQueue(world);
+    dispatchQueue(world);
     auto found = world.requests.find(id);
     if (found != world.requests.end())
         acceptIfSafe(world, found->second);
@@ -209,17 +208,17 @@
 // loss of one domain.
 void acceptIfSafe(World &world, Request &request)
 {
-    if (!request.witnessed && request.isOpen() && isOn(Safeguard::WitnessBeforeAccept))
+    if (!request.witnessConfirmed && request.isOpen() && isOn(Safeguard::WitnessBeforeAccept))
         return;
-    bool first = false;
+    bool newlyAccepted = false;
     for (Listener &listener : request.listeners) {
         if (listener.accepted)
             continue;
         listener.accepted = true;
-        first = true;
-        world.out.push_back(CallerAccepted{listener.caller, request.id});
+        newlyAccepted = true;
+        world.actions.push_back(CallerAccepted{listener.caller, request.id});
     }
-    if (first) {
+    if (newlyAccepted) {
         world.counters.add(Counter::Accepted);
         deliver(world, request);
     }
@@ -232,15 +231,15 @@
         if (!listener.accepted)
             continue;
         if (listener.sent < request.text.size()) {
-            world.out.push_back(CallerData{listener.caller, listener.sent, request.lineage(),
-                                           request.text.substr(listener.sent)});
+            world.actions.push_back(CallerData{listener.caller, listener.sent, request.lineage(),
+                                               request.text.substr(listener.sent)});
             listener.sent = request.text.size();
         }
         if (ended)
-            world.out.push_back(CallerEnd{listener.caller, request.end});
+            world.actions.push_back(CallerEnd{listener.caller, request.end});
     }
     if (ended) {
-        world.counters.add(Counter::AnsweredWhole, request.listeners.size());
+        world.counters.add(Counter::AnsweredFully, request.listeners.size());
         request.delivered = request.delivered || !request.listeners.empty();
         request.listeners.clear();
     }
@@ -253,18 +252,18 @@
     // because every grant checks it.
     cancelAttempt(world, request);
     const bool needsRegister = refusal.outcome == Outcome::NotRun && !request.once.mayRefuseAtOnce();
-    if (!needsRegister || !isOn(Safeguard::RefusalIsWritten))
-        return conclude(world, request, refusal);
+    if (!needsRegister || !isOn(Safeguard::RecordRefusalBeforeReply))
+        return endWithRefusal(world, request, refusal);
     request.pendingRefusal = refusal;
     request.once.refuse();
-    request.asks = 0;
-    askRegister(world, request);
+    request.registerQueries = 0;
+    queryRegister(world, request);
 }
 
-void conclude(World &world, Request &request, const Refusal &refusal)
+void endWithRefusal(World &world, Request &request, const Refusal &refusal)
 {
     cancelAttempt(world, request);
-    request.phase = RequestPhase::Given;
+    request.phase = RequestPhase::GivenUp;
     request.refusal = refusal;
     request.endedAt = world.now;
     const std::vector<Listener> listeners = std::move(request.listeners);
@@ -283,8 +282,8 @@
         return follow(world, event.caller, event.request, event.offset, event.lineage, true);
     Request &request = found->second;
     if (request.phase == RequestPhase::Moved)
-        return follow(world, event.caller, request.heldBy, event.offset, event.lineage, true);
-    if (request.phase == RequestPhase::Given)
+        return follow(world, event.caller, request.holderRequest, event.offset, event.lineage, true);
+    if (request.phase == RequestPhase::GivenUp)
         return refuseCaller(world, event.caller, request.refusal);
 
     Listener listener{event.caller, 0, false};
@@ -296,7 +295,7 @@
 
 // A caller that disconnects does not cancel its request, since it may reconnect and resume. A request that no
 // caller resumes is given up at its deadline.
-void onCallerGone(World &world, const CallerGone &event)
+void onCallerDisconnected(World &world, const CallerDisconnected &event)
 {
     world.followers.erase(event.caller);
     for (std::pair<const RequestId, Request> &entry : world.requests) {
--- a/src/daemon/witness.cpp
+++ b/src/daemon/witness.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-constexpr DurationMs WitnessPatience{60};
-constexpr DurationMs FetchPatience{250};
-constexpr uint32_t MaxFetchMisses = 3;
+constexpr DurationMs WitnessTimeout{60};
+constexpr DurationMs FetchTimeout{250};
+constexpr uint32_t MaxFetchTimeouts = 3;
 constexpr uint32_t MaxRedirectsAtOnce = 4;
-constexpr DurationMs FollowPatience{8000}; ///< Longer than suspecting a member and claiming its request take.
+constexpr DurationMs FollowTimeout{8000}; ///< Longer than suspecting a member and claiming its request take.
 constexpr size_t FetchBytes = 256U << 10;
-constexpr DurationMs WitnessKeep{600000};
+constexpr DurationMs WitnessRetention{600000};
 
 // Returns the owner itself while it is alive, because it keeps its open requests during a drain even after
 // its register moved; otherwise the daemon that its register moved to.
-Incarnation ownerNow(const World &world, Incarnation owner)
+Incarnation currentOwner(const World &world, Incarnation owner)
 {
     return world.members.isAlive(owner) ? owner : world.marks.resolve(owner);
 }
@@ -61,23 +61,23 @@
     }
     stored.branches.push_back({world.random.next() | 1, copy.text.size()});
     world.counters.add(Counter::TakenOver);
-    askWitness(world, stored);
+    sendWitnessCopy(world, stored);
     if (stored.spec->key.isSet()) {
-        stored.once.ask();
-        askRegister(world, stored);
+        stored.once.acquire();
+        queryRegister(world, stored);
     } else {
         enqueue(world, stored);
-        runQueue(world);
+        dispatchQueue(world);
     }
 }
 
 void sendFetch(World &world, Follower &follower)
 {
-    follower.askedAt = world.now;
-    follower.tag = world.nextTag++;
-    sendTo(world, follower.asking,
+    follower.queriedAt = world.now;
+    follower.tag = world.nextFetchTag++;
+    sendTo(world, follower.queriedDaemon,
            Fetch{follower.tag, follower.request, follower.offset, follower.lineage, follower.claim,
-                 follower.notAt});
+                 follower.unknownAt});
 }
 
 void endFollower(World &world, CallerId caller, const Refusal &refusal)
@@ -93,10 +93,10 @@
     if (request.phase == RequestPhase::Moved) {
         reply.state = FetchState::OwnedBy;
         reply.owner = request.successor;
-        reply.request = request.heldBy;
+        reply.request = request.holderRequest;
         return reply;
     }
-    if (request.phase == RequestPhase::Given) {
+    if (request.phase == RequestPhase::GivenUp) {
         reply.state = FetchState::Refused;
         reply.refusal = request.refusal;
         return reply;
@@ -105,8 +105,8 @@
                                       request.text.size());
     reply.lineage = request.lineage();
     reply.text = request.text.substr(reply.offset, FetchBytes);
-    const bool whole = reply.offset + reply.text.size() == request.text.size();
-    const bool ended = request.phase == RequestPhase::Ended && whole;
+    const bool reachesEnd = reply.offset + reply.text.size() == request.text.size();
+    const bool ended = request.phase == RequestPhase::Ended && reachesEnd;
     reply.state = ended ? FetchState::Ended : FetchState::Open;
     reply.end = request.end;
     return reply;
@@ -117,10 +117,10 @@
 {
     FetchReply reply;
     reply.tag = fetch.tag;
-    auto record = world.witnessed.find(fetch.request);
-    if (record == world.witnessed.end() || !fetch.claim)
+    auto record = world.witnessRecords.find(fetch.request);
+    if (record == world.witnessRecords.end() || !fetch.claim)
         return reply;
-    const Incarnation owner = ownerNow(world, record->second.owner);
+    const Incarnation owner = currentOwner(world, record->second.owner);
     if (owner != world.self() && owner != fetch.notAt && world.members.isAlive(owner)) {
         reply.state = FetchState::OwnedBy;
         reply.owner = owner;
@@ -130,7 +130,7 @@
     RequestCopy copy = record->second.copy;
     copy.spec.deadline
         = std::max(DurationMs{1}, copy.spec.deadline - (world.now - record->second.receivedAt));
-    world.witnessed.erase(record);
+    world.witnessRecords.erase(record);
     if (!copy.spec.idempotent && !copy.spec.key.isSet()) {
         reply.state = FetchState::Refused;
         reply.refusal = {Outcome::Unknown, RefusalReason::OwnerGone, DurationMs{0}};
@@ -143,20 +143,20 @@
 
 // The owner does not reply: claims the request at its witness, or ends with outcome Unknown if the witness is
 // not alive either.
-void turnToWitness(World &world, CallerId caller)
+void claimAtWitness(World &world, CallerId caller)
 {
     Follower &follower = world.followers.at(caller);
     const Incarnation witness = world.marks.resolve(follower.request.witness);
     follower.claim = true;
     follower.misses = 0;
-    follower.asking = witness;
+    follower.queriedDaemon = witness;
     if (!witness || (witness != world.self() && !world.members.isAlive(witness)))
         return endFollower(world, caller, {Outcome::Unknown, RefusalReason::OwnerGone, DurationMs{0}});
     if (witness != world.self())
         return sendFetch(world, follower);
-    follower.tag = world.nextTag++;
-    const Fetch fetch{follower.tag, follower.request, follower.offset, follower.lineage,
-                      true,         follower.notAt};
+    follower.tag = world.nextFetchTag++;
+    const Fetch fetch{follower.tag, follower.request,  follower.offset, follower.lineage,
+                      true,         follower.unknownAt};
     const FetchReply reply = replyAsWitness(world, fetch);
     if (!world.requests.contains(fetch.request))
         return onFetchReply(world, world.self(), reply);
@@ -167,34 +167,35 @@
 void tickFollower(World &world, CallerId caller)
 {
     Follower &follower = world.followers.at(caller);
-    const bool dead = follower.asking != world.self() && !world.members.isAlive(follower.asking);
+    const bool dead
+        = follower.queriedDaemon != world.self() && !world.members.isAlive(follower.queriedDaemon);
     if (dead && !follower.claim)
-        return turnToWitness(world, caller);
-    if (world.now - follower.askedAt < FetchPatience)
+        return claimAtWitness(world, caller);
+    if (world.now - follower.queriedAt < FetchTimeout)
         return;
-    if (world.now - follower.progressAt > FollowPatience)
+    if (world.now - follower.progressAt > FollowTimeout)
         return endFollower(world, caller, {Outcome::Unknown, RefusalReason::OwnerGone, DurationMs{0}});
     follower.redirects = 0;
-    if (!follower.claim && ++follower.misses >= MaxFetchMisses)
-        return turnToWitness(world, caller);
+    if (!follower.claim && ++follower.misses >= MaxFetchTimeouts)
+        return claimAtWitness(world, caller);
     sendFetch(world, follower);
 }
 
 } // namespace
 
 // A request is accepted only once another daemon holds its copy, unless this daemon knows no other live one.
-void askWitness(World &world, Request &request)
+void sendWitnessCopy(World &world, Request &request)
 {
     const Incarnation named = world.marks.resolve(request.id.witness);
     const Member *witness
-        = request.witnessAsks == 0 && named != world.self() ? world.members.find(named) : nullptr;
+        = request.witnessQueries == 0 && named != world.self() ? world.members.find(named) : nullptr;
     if (!witness || !world.members.isAlive(named))
-        witness = pickElsewhere(world, {});
-    ++request.witnessAsks;
-    request.witnessAskedAt = world.now;
+        witness = pickRemoteMember(world, {});
+    ++request.witnessQueries;
+    request.witnessQueriedAt = world.now;
     if (!witness) {
         world.counters.add(Counter::WitnessMissing);
-        request.witnessed = true;
+        request.witnessConfirmed = true;
         return;
     }
     request.witness = witness->info.incarnation;
@@ -209,7 +210,7 @@
     copy.generatedTokens = request.generatedTokens;
     copy.ended = request.phase == RequestPhase::Ended;
     copy.end = request.end;
-    request.askedAt = world.now;
+    request.lastSentAt = world.now;
     sendTo(world, to, std::move(copy));
 }
 
@@ -218,13 +219,13 @@
     const bool known = world.requests.contains(copy.request);
     if (copy.purpose == CopyPurpose::Witness) {
         if (!known)
-            world.witnessed.insert_or_assign(copy.request,
-                                             WitnessRecord{copy, copy.owner ? copy.owner : from, world.now});
+            world.witnessRecords.insert_or_assign(
+                copy.request, WitnessRecord{copy, copy.owner ? copy.owner : from, world.now});
     } else if (!known) {
         // A leaving daemon takes no request over. It sends no acknowledgement, so the sender chooses another.
         if (world.drain.active)
             return;
-        world.witnessed.erase(copy.request);
+        world.witnessRecords.erase(copy.request);
         takeOver(world, copy, from);
     }
     sendTo(world, from, CopyAck{copy.purpose, copy.request});
@@ -235,14 +236,14 @@
     auto found = world.requests.find(ack.request);
     if (found == world.requests.end()) {
         if (world.drain.active)
-            world.witnessed.erase(ack.request); // The successor has stored the forwarded copy.
+            world.witnessRecords.erase(ack.request); // The successor has stored the forwarded copy.
         return;
     }
     Request &request = found->second;
     if (ack.purpose == CopyPurpose::Witness) {
-        if (from != request.witness || request.witnessed)
+        if (from != request.witness || request.witnessConfirmed)
             return;
-        request.witnessed = true;
+        request.witnessConfirmed = true;
         return acceptIfSafe(world, request);
     }
     if (request.phase != RequestPhase::Moving && request.phase != RequestPhase::Ended)
@@ -251,12 +252,12 @@
         return;
     request.phase = RequestPhase::Moved;
     request.successor = from;
-    request.heldBy = request.id;
+    request.holderRequest = request.id;
     request.endedAt = world.now;
     world.counters.add(Counter::HandedOver);
     const Member *successor = world.members.find(from);
     for (const Listener &listener : request.listeners)
-        world.out.push_back(
+        world.actions.push_back(
             CallerMoved{listener.caller, request.id, successor ? successor->info.callerAddress : Address{}});
     request.listeners.clear();
 }
@@ -270,15 +271,16 @@
     follower.offset = offset;
     follower.lineage = lineage;
     follower.progressAt = world.now;
-    follower.asking = ownerNow(world, request.owner);
+    follower.queriedDaemon = currentOwner(world, request.owner);
     world.followers[caller] = follower;
     if (!accepted)
-        world.out.push_back(CallerAccepted{caller, request});
-    const bool askable = follower.asking != world.self() && world.members.isAlive(follower.asking);
-    if (askable)
+        world.actions.push_back(CallerAccepted{caller, request});
+    const bool canFetch
+        = follower.queriedDaemon != world.self() && world.members.isAlive(follower.queriedDaemon);
+    if (canFetch)
         sendFetch(world, world.followers[caller]);
     else
-        turnToWitness(world, caller);
+        claimAtWitness(world, caller);
 }
 
 void onFetch(World &world, Incarnation from, const Fetch &fetch)
@@ -295,7 +297,7 @@
     auto found = std::find_if(
         world.followers.begin(), world.followers.end(),
         [&reply](const std::pair<const CallerId, Follower> &entry) { return entry.second.tag == reply.tag; });
-    if (found == world.followers.end() || found->second.asking != from)
+    if (found == world.followers.end() || found->second.queriedDaemon != from)
         return;
     Follower &follower = found->second;
     const CallerId caller = follower.caller;
@@ -307,15 +309,15 @@
         follower.redirects = 0;
         follower.progressAt = world.now;
         follower.claim = false;
-        follower.notAt = {};
+        follower.unknownAt = {};
         if (!reply.text.empty() || reply.offset != follower.offset)
-            world.out.push_back(CallerData{caller, reply.offset, reply.lineage, reply.text});
+            world.actions.push_back(CallerData{caller, reply.offset, reply.lineage, reply.text});
         follower.offset = reply.offset + reply.text.size();
         follower.lineage = reply.lineage;
-        follower.askedAt = world.now + TickInterval - FetchPatience;
+        follower.queriedAt = world.now + TickInterval - FetchTimeout;
         if (reply.state == FetchState::Ended) {
-            world.out.push_back(CallerEnd{caller, reply.end});
-            world.counters.add(Counter::AnsweredWhole);
+            world.actions.push_back(CallerEnd{caller, reply.end});
+            world.counters.add(Counter::AnsweredFully);
             world.followers.erase(found);
         }
         break;
@@ -331,7 +333,7 @@
             break;
         }
         follower.claim = false;
-        follower.asking = reply.owner;
+        follower.queriedDaemon = reply.owner;
         // Bounds the redirects at once: two daemons that name each other as owner would otherwise make this
         // daemon query them in a tight loop.
         if (++follower.redirects <= MaxRedirectsAtOnce)
@@ -341,8 +343,8 @@
         if (follower.claim)
             endFollower(world, caller, {Outcome::Unknown, RefusalReason::RequestNotFound, DurationMs{0}});
         else {
-            follower.notAt = from;
-            turnToWitness(world, caller);
+            follower.unknownAt = from;
+            claimAtWitness(world, caller);
         }
         break;
     }
@@ -357,8 +359,9 @@
 {
     for (std::pair<const RequestId, Request> &entry : world.requests) {
         Request &request = entry.second;
-        if (request.isOpen() && !request.witnessed && world.now - request.witnessAskedAt > WitnessPatience) {
-            askWitness(world, request);
+        if (request.isOpen() && !request.witnessConfirmed
+            && world.now - request.witnessQueriedAt > WitnessTimeout) {
+            sendWitnessCopy(world, request);
             acceptIfSafe(world, request);
         }
     }
@@ -369,8 +372,8 @@
         if (world.followers.contains(caller))
             tickFollower(world, caller);
     }
-    std::erase_if(world.witnessed, [&world](const std::pair<const RequestId, WitnessRecord> &entry) {
-        return world.now - entry.second.receivedAt > WitnessKeep;
+    std::erase_if(world.witnessRecords, [&world](const std::pair<const RequestId, WitnessRecord> &entry) {
+        return world.now - entry.second.receivedAt > WitnessRetention;
     });
 }
 
--- a/src/daemon/world.h
+++ b/src/daemon/world.h
@@ -17,11 +17,11 @@
 namespace cranberry {
 
 /// The settings that the core of a daemon needs at its start.
-struct Identity {
+struct DaemonOptions {
     MemberInfo member;
     std::vector<Address> seeds;
-    DurationMs entryKeep{5000};
-    DurationMs answerKeep{30000};
+    DurationMs entryListTtl{5000};
+    DurationMs answerRetention{30000};
     DurationMs drainLimit{120000};
     uint64_t seed = 1;
 };
@@ -35,20 +35,20 @@
     TimeMs endsAt;
     Incarnation successor;
     TimeMs successorChosenAt;
-    TimeMs successorAskedAt;
+    TimeMs registerSentAt;
     bool registerMoved = false;
-    TimeMs witnessedSentAt;
-    TimeMs quietSince;
+    TimeMs witnessCopiesSentAt;
+    TimeMs idleSince;
     bool stopped = false;
 };
 
 /// The complete state of one daemon. The functions below operate on it; none of them opens a socket, reads a
 /// clock or starts a thread.
 struct World {
-    explicit World(const Identity &identity)
-        : entryKeep(identity.entryKeep), answerKeep(identity.answerKeep), drainLimit(identity.drainLimit),
-          random(identity.seed), members(identity.member, identity.seeds),
-          onceRegister(identity.member.incarnation)
+    explicit World(const DaemonOptions &options)
+        : entryKeep(options.entryListTtl), answerKeep(options.answerRetention),
+          drainLimit(options.drainLimit), random(options.seed), members(options.member, options.seeds),
+          onceRegister(options.member.incarnation)
     { }
 
     Incarnation self() const { return members.self().incarnation; }
@@ -61,10 +61,10 @@
 
     Membership members;
     MarkTable marks;
-    TimeMs holdUntil; ///< No attempt starts before this time, because the process was paused.
-    TimeMs gossipAt; ///< Time of the next gossip round.
+    TimeMs dispatchPausedUntil; ///< No attempt starts before this time, because the process was paused.
+    TimeMs nextGossipAt; ///< Time of the next gossip round.
     uint64_t gossipRounds = 0;
-    uint64_t marksUnequal
+    uint64_t markDigestMismatches
         = 0; ///< Consecutive messages whose digest of the marks differed from this daemon's.
 
     ConfigurationPtr configuration;
@@ -74,22 +74,22 @@
 
     EndpointTable endpoints;
     OrganisationLimits limits;
-    RetryBudget retries;
+    RetryBudget retryBudget;
     CrashSuspects suspects;
     OnceRegister onceRegister;
     std::unordered_map<RequestId, Request> requests;
-    std::unordered_map<RequestId, WitnessRecord> witnessed;
+    std::unordered_map<RequestId, WitnessRecord> witnessRecords;
     std::map<CallerId, Follower> followers;
     std::map<AttemptId, RequestId> attempts;
     std::deque<RequestId> queue; ///< Requests that wait for a free slot, oldest first.
     uint64_t nextRequest = 1;
     uint64_t nextAttempt = 1;
-    uint64_t nextTag = 1;
-    double serviceMs = 100; ///< Moving average of the attempts' durations.
+    uint64_t nextFetchTag = 1;
+    double meanAttemptMs = 100; ///< Moving average of the attempts' durations.
 
     Drain drain;
     Counters counters;
-    std::vector<Action> out;
+    std::vector<Action> actions;
 };
 
 void sendTo(World &world, Incarnation to, PeerMessage message);
@@ -97,8 +97,8 @@
 // submit.cpp: accepts callers' requests and sends answers and refusals back.
 void onCallerSubmit(World &world, const CallerSubmit &event);
 void onCallerResume(World &world, const CallerResume &event);
-void onCallerGone(World &world, const CallerGone &event);
-void onCallerEntries(World &world, const CallerEntries &event);
+void onCallerDisconnected(World &world, const CallerDisconnected &event);
+void onCallerEntriesRequest(World &world, const CallerEntriesRequest &event);
 bool isReady(const World &world);
 std::vector<Address> entriesFor(const World &world, const OrganisationName &organisation);
 void refuseCaller(World &world, CallerId caller, const Refusal &refusal);
@@ -106,12 +106,12 @@
 /// requires it.
 void giveUp(World &world, Request &request, const Refusal &refusal);
 /// Ends the request and sends the refusal to all its listeners.
-void conclude(World &world, Request &request, const Refusal &refusal);
+void endWithRefusal(World &world, Request &request, const Refusal &refusal);
 void deliver(World &world, Request &request);
 void acceptIfSafe(World &world, Request &request);
 
 // dispatch.cpp: selects endpoints, starts attempts and handles their results.
-void runQueue(World &world);
+void dispatchQueue(World &world);
 void enqueue(World &world, Request &request);
 void onEndpointData(World &world, const EndpointData &event);
 void onEndpointEnd(World &world, const EndpointEnd &event);
@@ -121,15 +121,15 @@
 void moveOffEndpoint(World &world, const InstanceName &instance, DurationMs notice);
 
 // once.cpp: the at-most-once protocol as the entry runs it.
-void askRegister(World &world, Request &request);
-void onOnceQuestion(World &world, Incarnation from, const OnceQuestion &question);
+void queryRegister(World &world, Request &request);
+void onOnceQuery(World &world, Incarnation from, const OnceQuery &question);
 void onOnceReply(World &world, const OnceReply &reply);
 void onPlatformOnceReply(World &world, const PlatformOnceReply &event);
-void noteFinished(World &world, const Request &request);
+void reportFinished(World &world, const Request &request);
 void tickOnce(World &world, Request &request);
 
 // witness.cpp: copies of accepted requests, and reading the answer of a request that another daemon owns.
-void askWitness(World &world, Request &request);
+void sendWitnessCopy(World &world, Request &request);
 void sendHandover(World &world, Request &request, Incarnation to);
 void onRequestCopy(World &world, Incarnation from, const RequestCopy &copy);
 void onCopyAck(World &world, Incarnation from, const CopyAck &ack);
@@ -154,7 +154,7 @@
 void onConfigurationHave(World &world, Incarnation from, const ConfigurationHave &have);
 /// Picks a random live member that is not leaving and is not `except`, preferably in another failure domain.
 /// Returns nullptr if there is none.
-const Member *pickElsewhere(World &world, Incarnation except);
+const Member *pickRemoteMember(World &world, Incarnation except);
 /// True if this daemon is one of the few in its failure domain that poll the platform for all others.
 bool isWatcher(const World &world);
 /// True if this daemon and daemons in enough other failure domains hold `revision` or a later one.
--- a/standins/deployment.cpp
+++ b/standins/deployment.cpp
@@ -40,16 +40,16 @@
 namespace {
 
 constexpr int EndpointCount = 5;
-constexpr int FirstPlain = 3; ///< Endpoints before this one are engines.
-constexpr int64_t BeatMs = 500;
+constexpr int FirstPlainEndpoint = 3; ///< Endpoints before this one are engines.
+constexpr int64_t PublishIntervalMs = 500;
 constexpr const char *FirstVersion = "v1";
-constexpr int64_t LapseMs = 1500;
+constexpr int64_t OrphanExpiryMs = 1500;
 constexpr int64_t CrashDelayMs = 60;
-constexpr int64_t DefaultCrashMs = 1500;
+constexpr int64_t DefaultCrashDowntimeMs = 1500;
 
-int64_t either(int64_t value, int64_t otherwise)
+int64_t positiveOr(int64_t value, int64_t fallback)
 {
-    return value > 0 ? value : otherwise;
+    return value > 0 ? value : fallback;
 }
 
 class Deployment
@@ -61,28 +61,29 @@
         for (int i = 0; i < EndpointCount; ++i)
             listen(i);
         startedAtMs_.fill(wallMs());
-        beat();
+        publishPeriodically();
     }
 
-    void onStore(const HttpExchangePtr &exchange)
+    void onStoreRequest(const HttpExchangePtr &exchange)
     {
         const cranberry::HttpRequest &request = exchange->request();
         const cranberry::HttpTarget target = cranberry::parseTarget(request.target);
         const json::value body = parsed(request.body);
-        const std::string last = target.path.substr(target.path.rfind('/') + 1);
-        const uint64_t number = std::strtoull(last.c_str(), nullptr, 10);
+        const std::string lastSegment = target.path.substr(target.path.rfind('/') + 1);
+        const uint64_t leaseId = std::strtoull(lastSegment.c_str(), nullptr, 10);
         if (target.path == "/kv-range")
-            return answer(exchange,
-                          store_.list(headerOf(target.query, "Prefix"), headerOf(target.query, "After"),
-                                      standin_.nowMs()));
+            return respondFromStore(exchange,
+                                    store_.list(headerOf(target.query, "Prefix"),
+                                                headerOf(target.query, "After"), standin_.nowMs()));
         if (target.path == "/kv-txn")
             return write(exchange, body.as_object());
         if (target.path == "/kv-lease")
-            return answer(exchange, store_.grant(body.at("TtlMs").to_number<int64_t>(), standin_.nowMs()));
+            return respondFromStore(
+                exchange, store_.grantLease(body.at("TtlMs").to_number<int64_t>(), standin_.nowMs()));
         if (target.path.starts_with("/kv-keep/"))
-            return answer(exchange, store_.renew(number, standin_.nowMs()));
+            return respondFromStore(exchange, store_.renewLease(leaseId, standin_.nowMs()));
         if (target.path.starts_with("/kv-lease-end/"))
-            return answer(exchange, store_.end(number));
+            return respondFromStore(exchange, store_.revokeLease(leaseId));
         if (target.path == "/usage" || target.path == "/scale") {
             standin_.log(fmt::format("duty {} holder={} token={} {}", target.path,
                                      headerOf(request.headers, "X-Duty-Holder"),
@@ -104,7 +105,7 @@
             return exchange->respond(200, {}, "");
         }
         if (target.path == "/spoil") {
-            spoiled_[headerOf(target.query, "endpoint")] = headerOf(target.query, "entry");
+            entryOverrides_[headerOf(target.query, "endpoint")] = headerOf(target.query, "entry");
             publish();
             return exchange->respond(200, {}, "");
         }
@@ -113,9 +114,9 @@
             return exchange->respond(200, {}, "");
         }
         if (target.path == "/return") {
-            store_.comeBackFromCopy();
+            store_.restoreCopy();
             standin_.log(fmt::format("returned era={}", store_.era()));
-            standin_.after(LapseMs, [this] { dropLapsed(); });
+            standin_.after(OrphanExpiryMs, [this] { removeOrphanedEntries(); });
             return exchange->respond(200, {}, "");
         }
         if (target.path == "/replace") {
@@ -133,11 +134,11 @@
         }
         if (target.path == "/rollout") {
             const std::string service = headerOf(target.query, "service");
-            const json::object order{
+            const json::object rolloutOrder{
                 {"Service", service},
                 {"Target", headerOf(target.query, "target")},
                 {"DurationS", std::strtoll(headerOf(target.query, "seconds").c_str(), nullptr, 10)}};
-            store_.put("op/rollout/" + service, base64Encoded(json::serialize(order)));
+            store_.put("op/rollout/" + service, base64Encoded(json::serialize(rolloutOrder)));
             return exchange->respond(200, {}, "");
         }
         exchange->respond(404, {}, "");
@@ -149,7 +150,7 @@
         const cranberry::Address address{base_.host, static_cast<uint16_t>(base_.port + 1 + index)};
         servers_[static_cast<size_t>(index)] = std::make_unique<cranberry::HttpServer>(
             standin_.io(), address, cranberry::HttpServerLimits{},
-            [this, index](const HttpExchangePtr &exchange) { onEndpoint(index, exchange); });
+            [this, index](const HttpExchangePtr &exchange) { onEndpointRequest(index, exchange); });
     }
 
     // Closes the endpoint's port and connections. Its entry stays in the store, as that of a crashed process.
@@ -157,23 +158,23 @@
     {
         standin_.log(fmt::format("crash endpoint={}", idOf(index)));
         servers_[static_cast<size_t>(index)].reset();
-        for (const std::weak_ptr<cranberry::HttpExchange> &each : std::exchange(open_[index], {})) {
+        for (const std::weak_ptr<cranberry::HttpExchange> &each : std::exchange(openExchanges_[index], {})) {
             if (const HttpExchangePtr exchange = each.lock())
                 exchange->abort();
         }
-        standin_.after(either(standin_.fault("crashMs"), DefaultCrashMs), [this, index] {
+        standin_.after(positiveOr(standin_.fault("crashMs"), DefaultCrashDowntimeMs), [this, index] {
             listen(index);
             replace(static_cast<size_t>(index));
         });
     }
 
-    void answer(const HttpExchangePtr &exchange, const StoreAnswer &reply) const
+    void respondFromStore(const HttpExchangePtr &exchange, const KeyValueReply &reply) const
     {
         respondJson(exchange, reply.status, reply.body, {{"Store-Era", std::to_string(store_.era())}});
     }
 
     // Removes the entries of replaced endpoints that the restored copy contains: no process renews them.
-    void dropLapsed()
+    void removeOrphanedEntries()
     {
         std::set<std::string> present;
         for (int i = 0; i < EndpointCount; ++i)
@@ -186,32 +187,32 @@
 
     void write(const HttpExchangePtr &exchange, const json::object &body)
     {
-        const StoreAnswer reply = store_.write(body, standin_.nowMs());
+        const KeyValueReply reply = store_.write(body, standin_.nowMs());
         if (lostReplies_ < standin_.fault("loseReplies")) {
             ++lostReplies_;
             return exchange->abort();
         }
-        answer(exchange, reply);
+        respondFromStore(exchange, reply);
     }
 
     std::string idOf(int index) const
     {
-        const uint32_t starts = starts_[static_cast<size_t>(index)];
-        return starts == 0 ? fmt::format("i-{}", index) : fmt::format("i-{}.{}", index, starts);
+        const uint32_t replacements = replacements_[static_cast<size_t>(index)];
+        return replacements == 0 ? fmt::format("i-{}", index) : fmt::format("i-{}.{}", index, replacements);
     }
     void replace(size_t index)
     {
-        if (index >= starts_.size())
+        if (index >= replacements_.size())
             return;
         store_.remove("servers/" + idOf(static_cast<int>(index)));
-        ++starts_[index];
+        ++replacements_[index];
         startedAtMs_[index] = wallMs();
         publish();
     }
     // Restarts the process under the same id: running requests are lost and a planned leave is cancelled.
     void restart(size_t index)
     {
-        if (index >= starts_.size())
+        if (index >= replacements_.size())
             return;
         startedAtMs_[index] = std::max(wallMs(), startedAtMs_[index] + 1);
         leaving_.erase(idOf(static_cast<int>(index)));
@@ -223,12 +224,12 @@
                    std::chrono::system_clock::now().time_since_epoch())
             .count();
     }
-    static bool isEngine(int index) { return index < FirstPlain; }
+    static bool isEngine(int index) { return index < FirstPlainEndpoint; }
 
-    void beat()
+    void publishPeriodically()
     {
         publish();
-        standin_.after(BeatMs, [this] { beat(); });
+        standin_.after(PublishIntervalMs, [this] { publishPeriodically(); });
     }
 
     void publish()
@@ -250,13 +251,15 @@
                 {"Seq", ++sequence_}};
             if (leaving != leaving_.end())
                 entry["leaves_ms"] = std::max<int64_t>(leaving->second - standin_.nowMs(), 0);
-            const auto spoiled = spoiled_.find(idOf(i));
-            const bool isOwn = spoiled == spoiled_.end() || spoiled->second.empty();
-            store_.put("servers/" + idOf(i), base64Encoded(isOwn ? json::serialize(entry) : spoiled->second));
+            const auto entryOverride = entryOverrides_.find(idOf(i));
+            const bool isRegularEntry
+                = entryOverride == entryOverrides_.end() || entryOverride->second.empty();
+            store_.put("servers/" + idOf(i),
+                       base64Encoded(isRegularEntry ? json::serialize(entry) : entryOverride->second));
         }
     }
 
-    void onEndpoint(int index, const HttpExchangePtr &exchange)
+    void onEndpointRequest(int index, const HttpExchangePtr &exchange)
     {
         const cranberry::HttpRequest &request = exchange->request();
         const std::string id = headerOf(request.headers, "X-Request-Id");
@@ -282,8 +285,8 @@
         const std::string &limit = limits_[static_cast<size_t>(index)];
         if (!limit.empty())
             headers.push_back({"Server-Limit", limit});
-        open_[index].push_back(exchange);
-        std::erase_if(open_[index],
+        openExchanges_[index].push_back(exchange);
+        std::erase_if(openExchanges_[index],
                       [](const std::weak_ptr<cranberry::HttpExchange> &each) { return each.expired(); });
         if (request.body == "crash")
             return standin_.after(CrashDelayMs, [this, index, id = idOf(index)] {
@@ -292,9 +295,9 @@
             });
         if (isEngine(index))
             return stream(exchange, headers);
-        standin_.after(either(standin_.fault("workMs"), 5), [this, exchange, headers, id] {
-            if (dropped_ < standin_.fault("dropAnswers")) {
-                ++dropped_;
+        standin_.after(positiveOr(standin_.fault("workMs"), 5), [this, exchange, headers, id] {
+            if (droppedAnswers_ < standin_.fault("dropAnswers")) {
+                ++droppedAnswers_;
                 return exchange->abort();
             }
             exchange->respond(200, headers, "answer to " + id);
@@ -305,26 +308,26 @@
     {
         headers.push_back({"Content-Type", "text/event-stream"});
         const std::string after = headerOf(exchange->request().headers, "Last-Event-Id");
-        std::shared_ptr<bool> gone = std::make_shared<bool>(false);
-        exchange->onClosed([gone] { *gone = true; });
+        std::shared_ptr<bool> isClosed = std::make_shared<bool>(false);
+        exchange->onClosed([isClosed] { *isClosed = true; });
         exchange->beginStream(200, headers);
-        next(exchange, gone, std::strtoll(after.c_str(), nullptr, 10) + 1);
+        streamNextToken(exchange, isClosed, std::strtoll(after.c_str(), nullptr, 10) + 1);
     }
 
-    void next(const HttpExchangePtr &exchange, const std::shared_ptr<bool> &gone, int64_t id)
+    void streamNextToken(const HttpExchangePtr &exchange, const std::shared_ptr<bool> &isClosed, int64_t id)
     {
-        standin_.after(either(standin_.fault("tokenMs"), 5), [this, exchange, gone, id] {
-            if (*gone)
+        standin_.after(positiveOr(standin_.fault("tokenMs"), 5), [this, exchange, isClosed, id] {
+            if (*isClosed)
                 return;
-            if (standin_.fault("cutAfter") > 0 && id > standin_.fault("cutAfter") && !wasCut_) {
-                wasCut_ = true;
+            if (standin_.fault("cutAfter") > 0 && id > standin_.fault("cutAfter") && !wasStreamCut_) {
+                wasStreamCut_ = true;
                 exchange->write(fmt::format("id: {}\nda", id));
                 return standin_.after(20, [exchange] { exchange->abort(); });
             }
             exchange->write(fmt::format("id: {}\ndata: token {}\n\n", id, id));
-            if (id >= either(standin_.fault("tokens"), 10))
+            if (id >= positiveOr(standin_.fault("tokens"), 10))
                 return exchange->finish();
-            next(exchange, gone, id + 1);
+            streamNextToken(exchange, isClosed, id + 1);
         });
     }
 
@@ -332,18 +335,18 @@
     cranberry::Address base_;
     StoreState store_;
     std::vector<std::unique_ptr<cranberry::HttpServer>> servers_;
-    std::map<int, std::vector<std::weak_ptr<cranberry::HttpExchange>>> open_; ///< By endpoint index.
+    std::map<int, std::vector<std::weak_ptr<cranberry::HttpExchange>>> openExchanges_; ///< By endpoint index.
     std::map<std::string, int64_t> leaving_;
-    std::array<uint32_t, EndpointCount> starts_ = {}; ///< By endpoint index.
+    std::array<uint32_t, EndpointCount> replacements_ = {}; ///< By endpoint index.
     std::array<int64_t, EndpointCount> startedAtMs_ = {};
     std::array<std::string, EndpointCount> versions_
         = {FirstVersion, FirstVersion, FirstVersion, FirstVersion, FirstVersion};
     std::array<std::string, EndpointCount> limits_; ///< Rate limit per second; empty: none.
-    std::map<std::string, std::string> spoiled_; ///< By endpoint id: text that replaces its entry.
+    std::map<std::string, std::string> entryOverrides_; ///< By endpoint id: text that replaces its entry.
     uint64_t sequence_ = 0;
     int64_t lostReplies_ = 0;
-    int64_t dropped_ = 0;
-    bool wasCut_ = false;
+    int64_t droppedAnswers_ = 0;
+    bool wasStreamCut_ = false;
 };
 
 } // namespace
@@ -356,6 +359,7 @@
     if (!standin.ok())
         return standin.exitCode();
     standin::Deployment deployment(standin, standin.address());
-    standin.serve([&deployment](const standin::HttpExchangePtr &exchange) { deployment.onStore(exchange); });
+    standin.serve(
+        [&deployment](const standin::HttpExchangePtr &exchange) { deployment.onStoreRequest(exchange); });
     return 0;
 }
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -30,15 +30,15 @@
 struct Generation {
     HttpExchangePtr exchange;
     uint64_t seed = 0;
-    uint64_t next = 0; ///< Index of the next token.
-    uint64_t total = 0;
-    uint64_t sent = 0;
+    uint64_t nextToken = 0; ///< Index of the next token.
+    uint64_t totalTokens = 0;
+    uint64_t sentTokens = 0;
     uint64_t promptTokens = 0;
     uint64_t cachedTokens = 0;
     int64_t priority = 0;
-    int64_t readyAt = 0;
+    int64_t prefillDoneAtMs = 0;
     bool closed = false;
-    bool hangs = false;
+    bool isHanging = false;
 };
 
 using GenerationPtr = std::shared_ptr<Generation>;
@@ -65,17 +65,17 @@
     {
         uint64_t hash = 0;
         uint64_t cached = 0;
-        bool unbroken = true;
+        bool isPrefixCached = true;
         for (size_t end = BlockBytes; end <= prompt.size(); end += BlockBytes) {
             hash = XXH3_64bits_withSeed(prompt.data() + end - BlockBytes, BlockBytes, hash);
-            unbroken = unbroken && cache_.contains(hash);
-            cached += unbroken ? BlockBytes / 4 : 0;
+            isPrefixCached = isPrefixCached && cache_.contains(hash);
+            cached += isPrefixCached ? BlockBytes / 4 : 0;
             if (cache_.insert({hash, true}).second)
-                order_.push_back(hash);
+                insertionOrder_.push_back(hash);
         }
-        while (order_.size() > CacheBlocks) {
-            cache_.erase(order_.front());
-            order_.pop_front();
+        while (insertionOrder_.size() > CacheBlocks) {
+            cache_.erase(insertionOrder_.front());
+            insertionOrder_.pop_front();
         }
         return cached;
     }
@@ -107,28 +107,31 @@
         GenerationPtr generation = std::make_shared<Generation>();
         generation->exchange = exchange;
         generation->seed = seedOf(prompt);
-        const uint64_t asked
+        const uint64_t requestedTokens
             = body.as_object().contains("max_tokens") ? body.at("max_tokens").to_number<uint64_t>() : 0;
-        const uint64_t natural = standin_.fault("tokens") ? standin_.fault("tokens") : DefaultTokens;
-        size_t at = 0;
-        while (at < prefix.size()) {
-            at += tokenAt(generation->seed, generation->next).size();
-            ++generation->next;
+        const uint64_t defaultTotal = standin_.fault("tokens") ? standin_.fault("tokens") : DefaultTokens;
+        size_t skippedBytes = 0;
+        while (skippedBytes < prefix.size()) {
+            skippedBytes += tokenAt(generation->seed, generation->nextToken).size();
+            ++generation->nextToken;
         }
-        generation->total = asked ? generation->next + asked : std::max(natural, generation->next);
+        generation->totalTokens = requestedTokens ? generation->nextToken + requestedTokens
+                                                  : std::max(defaultTotal, generation->nextToken);
         generation->promptTokens = (prompt.size() + prefix.size()) / 4;
         generation->cachedTokens = cachedTokens(prompt);
         generation->priority
             = body.as_object().contains("priority") ? body.at("priority").to_number<int64_t>() : 0;
-        const double prefill = static_cast<double>(
+        const double prefillTokens = static_cast<double>(
             generation->promptTokens - std::min(generation->promptTokens, generation->cachedTokens));
-        generation->readyAt = standin_.nowMs() + static_cast<int64_t>(prefill / PrefillTokensPerMs);
+        generation->prefillDoneAtMs
+            = standin_.nowMs() + static_cast<int64_t>(prefillTokens / PrefillTokensPerMs);
         standin_.log(fmt::format("start seed={:016x} from={} prompt={} cached={}", generation->seed,
-                                 generation->next, generation->promptTokens, generation->cachedTokens));
+                                 generation->nextToken, generation->promptTokens, generation->cachedTokens));
         exchange->beginStream(200, {{"Content-Type", "text/event-stream"}});
         exchange->onClosed([this, generation] {
             generation->closed = true;
-            standin_.log(fmt::format("cancelled seed={:016x} at={}", generation->seed, generation->next));
+            standin_.log(
+                fmt::format("cancelled seed={:016x} at={}", generation->seed, generation->nextToken));
         });
         batch_.push_back(generation);
         if (batch_.size() == 1)
@@ -149,22 +152,22 @@
 
     void advance(Generation &generation)
     {
-        if (generation.closed || generation.hangs || standin_.nowMs() < generation.readyAt)
+        if (generation.closed || generation.isHanging || standin_.nowMs() < generation.prefillDoneAtMs)
             return;
         const int64_t breakAfter = standin_.fault("breakAfterTokens");
-        if (breakAfter && generation.sent >= static_cast<uint64_t>(breakAfter)) {
+        if (breakAfter && generation.sentTokens >= static_cast<uint64_t>(breakAfter)) {
             generation.closed = true;
             return generation.exchange->abort();
         }
         const int64_t hangAfter = standin_.fault("hangAfterTokens");
-        if (hangAfter && generation.sent >= static_cast<uint64_t>(hangAfter)) {
-            generation.hangs = true;
+        if (hangAfter && generation.sentTokens >= static_cast<uint64_t>(hangAfter)) {
+            generation.isHanging = true;
             return;
         }
-        if (generation.next >= generation.total)
+        if (generation.nextToken >= generation.totalTokens)
             return end(generation);
-        const std::string token = tokenAt(generation.seed, generation.next++);
-        ++generation.sent;
+        const std::string token = tokenAt(generation.seed, generation.nextToken++);
+        ++generation.sentTokens;
         generation.exchange->write(fmt::format("data: "
                                                "{{\"object\":\"chat.completion.chunk\",\"choices\":[{{"
                                                "\"index\":0,\"delta\":{{\"content\":\"{}\"}},"
@@ -177,7 +180,7 @@
         generation.closed = true;
         const json::object usage{
             {"prompt_tokens", generation.promptTokens},
-            {"completion_tokens", generation.sent},
+            {"completion_tokens", generation.sentTokens},
             {"prompt_tokens_details", json::object{{"cached_tokens", generation.cachedTokens}}}};
         const json::object chunk{
             {"object", "chat.completion.chunk"},
@@ -186,13 +189,13 @@
             {"usage", usage}};
         generation.exchange->write(fmt::format("data: {}\n\ndata: [DONE]\n\n", json::serialize(chunk)));
         generation.exchange->finish();
-        standin_.log(fmt::format("end seed={:016x} total={}", generation.seed, generation.next));
+        standin_.log(fmt::format("end seed={:016x} total={}", generation.seed, generation.nextToken));
     }
 
     Standin &standin_;
     std::list<GenerationPtr> batch_;
     std::map<uint64_t, bool> cache_;
-    std::deque<uint64_t> order_;
+    std::deque<uint64_t> insertionOrder_;
 };
 
 } // namespace
--- a/standins/plainservice.cpp
+++ b/standins/plainservice.cpp
@@ -24,8 +24,8 @@
         standin_.log(fmt::format("run method={} target={} body={}", exchange->request().method,
                                  exchange->request().target, body));
         standin_.after(standin_.fault("workMs") ? standin_.fault("workMs") : 1, [this, exchange, body] {
-            if (dropped_ < standin_.fault("dropAnswers")) {
-                ++dropped_;
+            if (droppedAnswers_ < standin_.fault("dropAnswers")) {
+                ++droppedAnswers_;
                 return exchange->abort();
             }
             respondJson(exchange, 200,
@@ -35,7 +35,7 @@
 
 private:
     Standin &standin_;
-    int64_t dropped_ = 0;
+    int64_t droppedAnswers_ = 0;
 };
 
 } // namespace
