--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -23,7 +23,7 @@
 struct Instance {
     std::string state = "live";
     int64_t noticeMs = 0;
-    int64_t since = 0;
+    int64_t stateSinceMs = 0;
 };
 
 class PlatformStandin
@@ -56,7 +56,7 @@
 private:
     json::object header() const { return {{"revision", std::to_string(revision_)}}; }
 
-    static std::string text(const json::value &value, const char *name)
+    static std::string textField(const json::value &value, const char *name)
     {
         const json::object *object = value.if_object();
         const json::value *field = object ? object->if_contains(name) : nullptr;
@@ -66,7 +66,7 @@
     void range(const HttpExchangePtr &exchange, const json::value &body)
     {
         json::object answer{{"header", header()}};
-        auto found = entries_.find(text(body, "key"));
+        auto found = entries_.find(textField(body, "key"));
         if (found != entries_.end()) {
             answer["kvs"]
                 = json::array{json::object{{"key", found->first},
@@ -77,17 +77,17 @@
         respondJson(exchange, 200, answer);
     }
 
-    bool holds(const json::value &compare) const
+    bool comparisonHolds(const json::value &compare) const
     {
-        auto found = entries_.find(text(compare, "key"));
+        auto found = entries_.find(textField(compare, "key"));
         const uint64_t actual = found == entries_.end() ? 0 : found->second.modRevision;
-        return std::to_string(actual) == text(compare, "mod_revision");
+        return std::to_string(actual) == textField(compare, "mod_revision");
     }
 
     void put(const json::value &request)
     {
-        const std::string key = text(request, "key");
-        entries_[key] = {text(request, "value"), revision_};
+        const std::string key = textField(request, "key");
+        entries_[key] = {textField(request, "value"), revision_};
         standin_.log(fmt::format("put revision={} bytes={}", revision_, entries_[key].value.size()));
     }
 
@@ -97,7 +97,7 @@
         bool succeeded = true;
         if (const json::value *compare = object.if_contains("compare")) {
             for (const json::value &one : compare->as_array())
-                succeeded = succeeded && holds(one);
+                succeeded = succeeded && comparisonHolds(one);
         }
         const json::value *operations = object.if_contains(succeeded ? "success" : "failure");
         if (operations && !operations->as_array().empty()) {
@@ -113,9 +113,9 @@
 
     bool loseAnswer()
     {
-        if (lost_ >= standin_.fault("loseTxnAnswers"))
+        if (lostAnswers_ >= standin_.fault("loseTxnAnswers"))
             return false;
-        ++lost_;
+        ++lostAnswers_;
         return true;
     }
 
@@ -147,19 +147,21 @@
     {
         ++revision_;
         respondJson(exchange, 200,
-                    json::object{
-                        {"header", header()}, {"ID", std::to_string(revision_)}, {"TTL", text(body, "TTL")}});
+                    json::object{{"header", header()},
+                                 {"ID", std::to_string(revision_)},
+                                 {"TTL", textField(body, "TTL")}});
     }
 
     void instances(const HttpExchangePtr &exchange)
     {
         json::array list;
         for (const std::pair<const std::string, Instance> &entry : instances_) {
-            const bool visible = standin_.nowMs() - entry.second.since >= standin_.fault("listLagMs");
-            const int64_t left = entry.second.noticeMs - (standin_.nowMs() - entry.second.since);
+            const bool visible = standin_.nowMs() - entry.second.stateSinceMs >= standin_.fault("listLagMs");
+            const int64_t remainingNoticeMs
+                = entry.second.noticeMs - (standin_.nowMs() - entry.second.stateSinceMs);
             list.push_back(json::object{{"name", entry.first},
                                         {"state", visible ? entry.second.state : "live"},
-                                        {"noticeMs", std::max<int64_t>(left, 0)}});
+                                        {"noticeMs", std::max<int64_t>(remainingNoticeMs, 0)}});
         }
         respondJson(exchange, 200, json::object{{"instances", list}});
     }
@@ -187,7 +189,7 @@
     std::map<std::string, uint64_t> calls_;
     std::list<HttpExchangePtr> watches_;
     uint64_t revision_ = 1;
-    int64_t lost_ = 0;
+    int64_t lostAnswers_ = 0;
 };
 
 } // namespace
--- a/standins/storestate.cpp
+++ b/standins/storestate.cpp
@@ -39,7 +39,7 @@
     copy_ = content_;
 }
 
-void StoreState::comeBackFromCopy()
+void StoreState::restoreCopy()
 {
     content_ = copy_;
     ++era_;
@@ -54,9 +54,9 @@
             {"Lease", item.lease}};
 }
 
-StoreAnswer StoreState::list(const std::string &prefix, const std::string &after, int64_t nowMs)
+KeyValueReply StoreState::list(const std::string &prefix, const std::string &after, int64_t nowMs)
 {
-    endLeases(nowMs);
+    expireLeases(nowMs);
     json::array items;
     bool truncated = false;
     for (auto item = content_.items.lower_bound(prefix);
@@ -71,20 +71,20 @@
     return {200, {{"Items", std::move(items)}, {"Truncated", truncated}, {"CurrentRev", content_.revision}}};
 }
 
-StoreAnswer StoreState::write(const json::object &body, int64_t nowMs)
+KeyValueReply StoreState::write(const json::object &body, int64_t nowMs)
 {
-    endLeases(nowMs);
-    json::array present;
-    bool holds = true;
+    expireLeases(nowMs);
+    json::array currentItems;
+    bool preconditionsHold = true;
     for (const json::value &condition : body.at("Precondition").as_array()) {
         const std::string key(condition.at("Key").as_string());
         const auto found = content_.items.find(key);
         const uint64_t revision = found == content_.items.end() ? 0 : found->second.revision;
-        holds = holds && revision == condition.at("Revision").to_number<uint64_t>();
-        present.push_back(describe(key, found == content_.items.end() ? Item{} : found->second));
+        preconditionsHold = preconditionsHold && revision == condition.at("Revision").to_number<uint64_t>();
+        currentItems.push_back(describe(key, found == content_.items.end() ? Item{} : found->second));
     }
-    if (!holds)
-        return {412, {{"Items", std::move(present)}}};
+    if (!preconditionsHold)
+        return {412, {{"Items", std::move(currentItems)}}};
     for (const json::value &entry : body.at("Puts").as_array()) {
         const uint64_t lease = entry.at("Lease").to_number<uint64_t>();
         if (lease != 0 && !content_.leases.contains(lease))
@@ -103,34 +103,34 @@
     return {200, {{"Revision", content_.revision}}};
 }
 
-StoreAnswer StoreState::grant(int64_t leaseMs, int64_t nowMs)
+KeyValueReply StoreState::grantLease(int64_t leaseMs, int64_t nowMs)
 {
     const uint64_t lease = content_.nextLease++;
     content_.leases[lease] = {leaseMs, nowMs + leaseMs};
     return {200, {{"Lease", lease}, {"TtlMs", leaseMs}}};
 }
 
-StoreAnswer StoreState::renew(uint64_t lease, int64_t nowMs)
+KeyValueReply StoreState::renewLease(uint64_t lease, int64_t nowMs)
 {
-    endLeases(nowMs);
+    expireLeases(nowMs);
     const auto found = content_.leases.find(lease);
     if (found == content_.leases.end())
         return {404, {}};
-    found->second.endsAtMs = nowMs + found->second.lengthMs;
-    return {200, {{"TtlMs", found->second.lengthMs}}};
+    found->second.expiresAtMs = nowMs + found->second.ttlMs;
+    return {200, {{"TtlMs", found->second.ttlMs}}};
 }
 
-StoreAnswer StoreState::end(uint64_t lease)
+KeyValueReply StoreState::revokeLease(uint64_t lease)
 {
     dropLease(lease);
     return {200, {}};
 }
 
-void StoreState::endLeases(int64_t nowMs)
+void StoreState::expireLeases(int64_t nowMs)
 {
     std::map<uint64_t, Lease> leases = content_.leases;
     for (const std::pair<const uint64_t, Lease> &lease : leases) {
-        if (lease.second.endsAtMs <= nowMs)
+        if (lease.second.expiresAtMs <= nowMs)
             dropLease(lease.first);
     }
 }
--- a/standins/storestate.h
+++ b/standins/storestate.h
@@ -9,7 +9,7 @@
 namespace standin {
 
 /// Status and JSON body of a reply.
-struct StoreAnswer {
+struct KeyValueReply {
     int status = 200;
     boost::json::object body;
 };
@@ -26,14 +26,14 @@
 
     // Simulate a store that is restored from an older copy.
     void saveCopy();
-    void comeBackFromCopy(); ///< Starts the next era; revisions and lease ids are issued again.
+    void restoreCopy(); ///< Starts the next era; revisions and lease ids are issued again.
     uint64_t era() const { return era_; }
 
-    StoreAnswer list(const std::string &prefix, const std::string &after, int64_t nowMs);
-    StoreAnswer write(const boost::json::object &body, int64_t nowMs);
-    StoreAnswer grant(int64_t leaseMs, int64_t nowMs);
-    StoreAnswer renew(uint64_t lease, int64_t nowMs);
-    StoreAnswer end(uint64_t lease);
+    KeyValueReply list(const std::string &prefix, const std::string &after, int64_t nowMs);
+    KeyValueReply write(const boost::json::object &body, int64_t nowMs);
+    KeyValueReply grantLease(int64_t leaseMs, int64_t nowMs);
+    KeyValueReply renewLease(uint64_t lease, int64_t nowMs);
+    KeyValueReply revokeLease(uint64_t lease);
 
 private:
     struct Item {
@@ -43,8 +43,8 @@
         uint64_t lease = 0;
     };
     struct Lease {
-        int64_t lengthMs = 0;
-        int64_t endsAtMs = 0;
+        int64_t ttlMs = 0;
+        int64_t expiresAtMs = 0;
     };
     struct Content {
         std::map<std::string, Item> items;
@@ -53,7 +53,7 @@
         uint64_t nextLease = 1;
     };
     boost::json::object describe(const std::string &key, const Item &item) const;
-    void endLeases(int64_t nowMs);
+    void expireLeases(int64_t nowMs);
     void dropLease(uint64_t lease);
 
     Content content_;
--- a/standins/tokens.cpp
+++ b/standins/tokens.cpp
@@ -15,7 +15,7 @@
     return fmt::format("w{:03x} ", XXH3_64bits_withSeed(&index, sizeof(index), seed) & 0xfff);
 }
 
-std::string answerOf(const std::string &prompt, uint64_t tokens)
+std::string expectedAnswer(const std::string &prompt, uint64_t tokens)
 {
     std::string out;
     for (uint64_t i = 0; i < tokens; ++i)
--- a/standins/tokens.h
+++ b/standins/tokens.h
@@ -11,6 +11,6 @@
 std::string tokenAt(uint64_t seed, uint64_t index);
 
 /// Returns the complete answer to a prompt, for checks by callers.
-std::string answerOf(const std::string &prompt, uint64_t tokens);
+std::string expectedAnswer(const std::string &prompt, uint64_t tokens);
 
 } // namespace standin
--- a/tests/change_explorer_test.cpp
+++ b/tests/change_explorer_test.cpp
@@ -23,9 +23,9 @@
     std::vector<ConfigurationChange> changes;
     StoredConfiguration stored{{1}, "text", {}};
     std::map<std::string, StoredConfiguration>
-        writes; ///< Writes in flight; each may arrive once, at any later time.
-    std::vector<bool> waiting = std::vector<bool>(Operators, false); ///< For the reply to a write.
-    uint8_t lost = 0;
+        writesInFlight; ///< Writes in flight; each may arrive once, at any later time.
+    std::vector<bool> awaitingReply = std::vector<bool>(Operators, false); ///< For the reply to a write.
+    uint8_t lostReplies = 0;
 };
 
 std::string encode(const State &state)
@@ -34,12 +34,12 @@
     for (size_t i = 0; i < Operators; ++i) {
         const ConfigurationChange &change = state.changes[i];
         out += fmt::format("|{} {} {} {} {}", static_cast<int>(change.step()),
-                           static_cast<int>(change.verdict()), change.revision().value,
-                           change.toWrite().revision.value, static_cast<int>(state.waiting[i]));
+                           static_cast<int>(change.finalOutcome()), change.revision().value,
+                           change.toWrite().revision.value, static_cast<int>(state.awaitingReply[i]));
     }
-    for (const std::pair<const std::string, StoredConfiguration> &write : state.writes)
+    for (const std::pair<const std::string, StoredConfiguration> &write : state.writesInFlight)
         out += "/" + write.first;
-    return out + fmt::format("~{}", state.lost);
+    return out + fmt::format("~{}", state.lostReplies);
 }
 
 class Explorer
@@ -47,12 +47,12 @@
 public:
     void explore()
     {
-        State first;
+        State initialState;
         for (size_t i = 0; i < Operators; ++i)
-            first.changes.emplace_back(fmt::format("c{}", i), fmt::format("text{}", i), std::nullopt,
-                                       TimeMs{1000});
-        visit(std::move(first));
-        while (!frontier_.empty() && breach_.empty()) {
+            initialState.changes.emplace_back(fmt::format("c{}", i), fmt::format("text{}", i), std::nullopt,
+                                              TimeMs{1000});
+        visit(std::move(initialState));
+        while (!frontier_.empty() && violation_.empty()) {
             std::vector<State> current;
             current.swap(frontier_);
             for (const State &state : current)
@@ -61,7 +61,7 @@
     }
 
     size_t states() const { return seen_.size(); }
-    const std::string &breach() const { return breach_; }
+    const std::string &violation() const { return violation_; }
 
 private:
     void visit(State state)
@@ -72,12 +72,12 @@
                 continue;
             const std::vector<std::string> &ids = state.stored.changes;
             const bool written = std::find(ids.begin(), ids.end(), fmt::format("c{}", i)) != ids.end();
-            if (change.verdict() == ConfigurationChange::Verdict::Accepted && !written)
-                breach_ = "accepted, but not written";
-            if (change.verdict() == ConfigurationChange::Verdict::Conflict && written)
-                breach_ = "reported as a conflict, but written";
+            if (change.finalOutcome() == ConfigurationChange::ChangeOutcome::Accepted && !written)
+                violation_ = "accepted, but not written";
+            if (change.finalOutcome() == ConfigurationChange::ChangeOutcome::Conflict && written)
+                violation_ = "reported as a conflict, but written";
             if (std::count(ids.begin(), ids.end(), fmt::format("c{}", i)) > 1)
-                breach_ = "written twice";
+                violation_ = "written twice";
         }
         if (seen_.insert(encode(state)).second)
             frontier_.push_back(std::move(state));
@@ -85,7 +85,7 @@
 
     // Applies an arriving write if the stored revision equals its expected revision. Returns whether it was
     // applied.
-    static bool arrive(State &state, const StoredConfiguration &write)
+    static bool applyWrite(State &state, const StoredConfiguration &write)
     {
         if (write.revision != state.stored.revision)
             return false;
@@ -99,54 +99,55 @@
     {
         for (size_t i = 0; i < Operators; ++i)
             expandOperator(state, i);
-        for (const std::pair<const std::string, StoredConfiguration> &write : state.writes) {
+        for (const std::pair<const std::string, StoredConfiguration> &write : state.writesInFlight) {
             State next = state; // A write that was considered lost arrives late.
-            next.writes.erase(write.first);
-            arrive(next, write.second);
+            next.writesInFlight.erase(write.first);
+            applyWrite(next, write.second);
             visit(std::move(next));
         }
     }
 
     void expandOperator(const State &state, size_t index)
     {
-        constexpr uint8_t MostLost = 3;
+        constexpr uint8_t MaxLostReplies = 3;
         const ConfigurationChange &change = state.changes[index];
-        const TimeMs early{0};
-        const TimeMs late{2000};
+        const TimeMs beforeDeadline{0};
+        const TimeMs afterDeadline{2000};
         if (change.step() == ConfigurationChange::Step::Read) {
-            State read = state;
-            read.changes[index].onRead(state.stored);
-            visit(std::move(read));
-            State failed = state;
-            failed.changes[index].onReadFailed(late);
-            visit(std::move(failed));
+            State readDone = state;
+            readDone.changes[index].onRead(state.stored);
+            visit(std::move(readDone));
+            State readFailed = state;
+            readFailed.changes[index].onReadFailed(afterDeadline);
+            visit(std::move(readFailed));
         } else if (change.step() == ConfigurationChange::Step::Write) {
-            State answered = state;
-            const bool held = arrive(answered, change.toWrite());
-            const ConfigurationChange::Write outcome
-                = held ? ConfigurationChange::Write::Held : ConfigurationChange::Write::Failed;
-            answered.changes[index].onWritten(outcome, answered.stored.revision, early);
-            visit(std::move(answered));
-            if (state.lost == MostLost)
+            State replied = state;
+            const bool applied = applyWrite(replied, change.toWrite());
+            const ConfigurationChange::WriteResult writeResult = applied
+                ? ConfigurationChange::WriteResult::Applied
+                : ConfigurationChange::WriteResult::NotApplied;
+            replied.changes[index].onWritten(writeResult, replied.stored.revision, beforeDeadline);
+            visit(std::move(replied));
+            if (state.lostReplies == MaxLostReplies)
                 return;
-            for (const TimeMs &when : {early, late}) {
-                State lost = state; // No reply: the write is still in flight.
-                ++lost.lost;
-                lost.writes.emplace(fmt::format("{}{}", encodeStored(change.toWrite()), state.lost),
-                                    change.toWrite());
-                lost.changes[index].onWritten(ConfigurationChange::Write::Lost, {}, when);
-                visit(std::move(lost));
+            for (const TimeMs &when : {beforeDeadline, afterDeadline}) {
+                State lostWrite = state; // No reply: the write is still in flight.
+                ++lostWrite.lostReplies;
+                lostWrite.writesInFlight.emplace(
+                    fmt::format("{}{}", encodeStored(change.toWrite()), state.lostReplies), change.toWrite());
+                lostWrite.changes[index].onWritten(ConfigurationChange::WriteResult::ReplyLost, {}, when);
+                visit(std::move(lostWrite));
             }
         } else if (change.step() == ConfigurationChange::Step::Confirm) {
             State confirmed = state;
-            confirmed.changes[index].onConfirm(true, early);
+            confirmed.changes[index].onConfirm(true, beforeDeadline);
             visit(std::move(confirmed));
         }
     }
 
     std::set<std::string> seen_;
     std::vector<State> frontier_;
-    std::string breach_;
+    std::string violation_;
 };
 
 } // namespace
@@ -156,16 +157,16 @@
     Explorer explorer;
     explorer.explore();
     fmt::print("explorer | two operators | states {} | all\n", explorer.states());
-    CHECK_MESSAGE(explorer.breach().empty(), explorer.breach());
+    CHECK_MESSAGE(explorer.violation().empty(), explorer.violation());
     CHECK(explorer.states() > 100);
 }
 
 // Without the read-back, a lost reply is reported as a conflict and the write takes effect afterwards.
 TEST_CASE("explorer: without the read-back a change reported as a conflict is written")
 {
-    setSafeguard(Safeguard::ReadBackLostAnswer, false);
+    setSafeguard(Safeguard::ReadBackAfterLostReply, false);
     Explorer explorer;
     explorer.explore();
-    setSafeguard(Safeguard::ReadBackLostAnswer, true);
-    CHECK(explorer.breach() == "reported as a conflict, but written");
+    setSafeguard(Safeguard::ReadBackAfterLostReply, true);
+    CHECK(explorer.violation() == "reported as a conflict, but written");
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::vector<PeerMessage> oneOfEach()
+std::vector<PeerMessage> sampleMessages()
 {
     const RequestId id{{1}, 2, {3}};
     RequestSpec spec;
@@ -34,7 +34,7 @@
     return {Gossip{true, member, {member}, {{{1}, 2}}, {{mark, {7}}}, 9, true, true},
             ConfigurationHave{{5}},
             ConfigurationPush{{5}, "text"},
-            OnceQuestion{OnceAction::Refuse, spec.key, 2, id, {8}},
+            OnceQuery{OnceAction::Refuse, spec.key, 2, id, {8}},
             OnceReply{id, OnceAction::Acquire, {OnceVerdict::HeldElsewhere, {4}, id}},
             copy,
             CopyAck{CopyPurpose::Handover, id},
@@ -50,7 +50,7 @@
 
 TEST_CASE("peer messages of every kind survive encoding and decoding")
 {
-    const std::vector<PeerMessage> messages = oneOfEach();
+    const std::vector<PeerMessage> messages = sampleMessages();
     CHECK(messages.size() == std::variant_size_v<PeerMessage>);
     for (size_t i = 0; i < messages.size(); ++i) {
         CHECK(messages[i].index() == i);
@@ -73,7 +73,7 @@
 {
     std::mt19937 random(1);
     size_t read = 0;
-    for (const PeerMessage &message : oneOfEach()) {
+    for (const PeerMessage &message : sampleMessages()) {
         const std::string bytes = encodeEnvelope({{11}, {12}, message});
         for (int i = 0; i < 2000; ++i) {
             std::string damaged = bytes.substr(0, random() % (bytes.size() + 1));
--- a/tests/explorer_test.cpp
+++ b/tests/explorer_test.cpp
@@ -184,7 +184,7 @@
         state.registers[0].openSession();
         for (const size_t entry : {A, B}) {
             state.entries[entry].started = true;
-            state.entries[entry].attempt.ask();
+            state.entries[entry].attempt.acquire();
         }
         return state;
     }
@@ -236,7 +236,8 @@
             next.firstRuns += index == E ? 0 : 1;
             visit(std::move(next));
         }
-        const bool undispatched = phase == OnceAttempt::Phase::Asking || phase == OnceAttempt::Phase::Granted;
+        const bool undispatched
+            = phase == OnceAttempt::Phase::Acquiring || phase == OnceAttempt::Phase::Granted;
         if (undispatched && model_.refusals) {
             State next = state;
             next.entries[index].attempt.refuse();
@@ -248,7 +249,7 @@
             next.told = true;
             if (!next.entries[E].started) {
                 next.entries[E].started = true;
-                next.entries[E].attempt.ask();
+                next.entries[E].attempt.acquire();
             }
             visit(std::move(next));
         }
@@ -298,7 +299,7 @@
             EntryState &entry = state.entries[message.entry];
             if (!entry.started) {
                 entry.started = true;
-                entry.attempt.ask();
+                entry.attempt.acquire();
             }
             return;
         }
@@ -319,7 +320,7 @@
 
     static void receiveQuestion(State &state, const Message &message)
     {
-        OnceQuestion question;
+        OnceQuery question;
         question.action = message.action;
         question.key = {registerId(0), Session, 1, {}};
         question.request = requestOf(message.entry);
@@ -411,17 +412,18 @@
 // A is told "not run"; its duplicate waits at B and asks afterwards.
 TEST_CASE("explorer: without the written refusal a refused call runs")
 {
-    CHECK(breachWithout(Safeguard::RefusalIsWritten, {true, false, false}) == "told not run, and ran");
+    CHECK(breachWithout(Safeguard::RecordRefusalBeforeReply, {true, false, false})
+          == "told not run, and ran");
 }
 
 // The table has left for the successor, and the old register grants once more.
 TEST_CASE("explorer: without the seal two registers grant")
 {
-    CHECK(breachWithout(Safeguard::SealBeforeMove, {false, false, true}) == "ran twice");
+    CHECK(breachWithout(Safeguard::SealBeforeTransfer, {false, false, true}) == "ran twice");
 }
 
 // A offers its request to C, hears nothing, and offers it to D: both name A as the one they have it from.
 TEST_CASE("explorer: without the rule on moves two successors run")
 {
-    CHECK(breachWithout(Safeguard::MoveOnlyFromHolder, {false, true, false}) == "ran twice");
+    CHECK(breachWithout(Safeguard::TransferOnlyFromHolder, {false, true, false}) == "ran twice");
 }
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -97,6 +97,6 @@
     // Both look the same on the request's connection; only a new connection shows the difference. If an abort
     // were taken for a crash, it would count towards the request's quarantine; if a crash were missed, one
     // request could crash endpoint after endpoint.
-    CHECK(failurePhaseAfterAbort(true) == FailurePhase::Ended);
+    CHECK(failurePhaseAfterAbort(true) == FailurePhase::EndpointExited);
     CHECK(failurePhaseAfterAbort(false) == FailurePhase::AfterSend);
 }
--- a/tests/onedaemon.cpp
+++ b/tests/onedaemon.cpp
@@ -21,9 +21,9 @@
         endpoints);
 }
 
-Identity identity()
+DaemonOptions daemonOptions()
 {
-    Identity out;
+    DaemonOptions out;
     out.member.incarnation = {7};
     out.member.instance = {"entry-0"};
     out.member.failureDomain = {"leioa"};
@@ -32,10 +32,10 @@
 
 } // namespace
 
-OneDaemon::OneDaemon() : daemon_(identity())
+OneDaemon::OneDaemon() : daemon_(daemonOptions())
 {
     step(Tick{});
-    step(ConfigurationSeen{{1}, configurationText()});
+    step(ConfigurationReceived{{1}, configurationText()});
 }
 
 RequestSpec OneDaemon::specOf(const std::string &body)
@@ -66,18 +66,18 @@
     step(PeerInbound{{9}, {}, copy});
 }
 
-void OneDaemon::failAttempts(const std::string &body, size_t most, DurationMs duration)
+void OneDaemon::failAttempts(const std::string &body, size_t maxFailures, DurationMs duration)
 {
-    const size_t before = failed;
+    const size_t before = failedAttempts;
     for (const TimeMs until = now_ + duration; now_ < until;) {
         now_ = now_ + TickInterval;
         step(Tick{});
         for (const StartAttempt &attempt : std::exchange(started_, {})) {
-            if (attempt.spec->body != body || failed - before == most) {
+            if (attempt.spec->body != body || failedAttempts - before == maxFailures) {
                 started_.push_back(attempt);
                 continue;
             }
-            ++failed;
+            ++failedAttempts;
             step(EndpointFailed{attempt.attempt, phase});
         }
     }
--- a/tests/onedaemon.h
+++ b/tests/onedaemon.h
@@ -20,13 +20,13 @@
     void takeOver(const std::string &body);
     /// Advances the time by `duration` and fails up to `maxFailures` attempts for `body` with `phase`. The
     /// other attempts stay open.
-    void failAttempts(const std::string &body, size_t most, DurationMs duration);
+    void failAttempts(const std::string &body, size_t maxFailures, DurationMs duration);
     void answerAll();
 
     std::map<CallerId, Refusal> refusals;
     std::set<CallerId> answered;
-    size_t failed = 0; ///< Number of attempts failed so far.
-    FailurePhase phase = FailurePhase::Ended;
+    size_t failedAttempts = 0; ///< Number of attempts failed so far.
+    FailurePhase phase = FailurePhase::EndpointExited;
 
 private:
     static RequestSpec specOf(const std::string &body);
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -15,14 +15,14 @@
     OneDaemon daemon;
     const CallerId first = daemon.submit("bad");
     daemon.failAttempts("bad", 100, {10000});
-    CHECK(daemon.failed == 3);
+    CHECK(daemon.failedAttempts == 3);
     REQUIRE(daemon.refusals.contains(first));
     CHECK(daemon.refusals[first].outcome == Outcome::Unknown);
     CHECK(daemon.refusals[first].reason == RefusalReason::RequestQuarantined);
     CHECK(daemon.refusals[first].retryAfter.count > 0);
     const CallerId again = daemon.submit("bad");
     daemon.failAttempts("bad", 100, {5000});
-    CHECK(daemon.failed == 3);
+    CHECK(daemon.failedAttempts == 3);
     REQUIRE(daemon.refusals.contains(again));
     CHECK(daemon.refusals[again].outcome == Outcome::NotRun);
     CHECK(daemon.refusals[again].retryAfter.count > 0);
@@ -38,12 +38,12 @@
     OneDaemon daemon;
     const CallerId first = daemon.submit("plain");
     daemon.failAttempts("plain", 2, {6000});
-    CHECK(daemon.failed == 2);
+    CHECK(daemon.failedAttempts == 2);
     daemon.answerAll();
     CHECK(daemon.answered.contains(first));
     const CallerId second = daemon.submit("plain");
     daemon.failAttempts("plain", 1, {6000});
-    CHECK(daemon.failed == 3);
+    CHECK(daemon.failedAttempts == 3);
     daemon.answerAll();
     CHECK(daemon.answered.contains(second));
 }
@@ -56,7 +56,7 @@
     daemon.phase = FailurePhase::AfterSend;
     const CallerId first = daemon.submit("plain");
     daemon.failAttempts("plain", 100, {20000});
-    CHECK(daemon.failed == 6);
+    CHECK(daemon.failedAttempts == 6);
     CHECK(daemon.refusals[first].reason == RefusalReason::RetriesExhausted);
     const CallerId second = daemon.submit("plain");
     daemon.answerAll();
@@ -73,10 +73,10 @@
         daemon.takeOver(body);
         daemon.failAttempts(body, 1, {2000});
     }
-    REQUIRE(daemon.failed == 3);
+    REQUIRE(daemon.failedAttempts == 3);
     daemon.takeOver("fourth");
     daemon.failAttempts("fourth", 1, {2000});
-    CHECK(daemon.failed == 4);
+    CHECK(daemon.failedAttempts == 4);
 }
 
 TEST_CASE("a request that crashed three endpoints is not sent on by the daemon that takes it over")
@@ -84,8 +84,8 @@
     OneDaemon daemon;
     daemon.submit("bad");
     daemon.failAttempts("bad", 100, {10000});
-    REQUIRE(daemon.failed == 3);
+    REQUIRE(daemon.failedAttempts == 3);
     daemon.takeOver("bad");
     daemon.failAttempts("bad", 100, {5000});
-    CHECK(daemon.failed == 3);
+    CHECK(daemon.failedAttempts == 3);
 }
--- a/tests/retrybudget_test.cpp
+++ b/tests/retrybudget_test.cpp
@@ -19,7 +19,7 @@
     for (int i = 0; i < 40; ++i)
         callers.push_back(daemon.submit("stream"));
     daemon.failAttempts("stream", 40, {20});
-    REQUIRE(daemon.failed == 40);
+    REQUIRE(daemon.failedAttempts == 40);
     for (int round = 0; round < 30; ++round) {
         for (int i = 0; i < 10; ++i)
             daemon.submit("other");
--- a/tests/safeguards_test.cpp
+++ b/tests/safeguards_test.cpp
@@ -11,19 +11,22 @@
 
 constexpr uint64_t Seed = 20261202;
 
-constexpr uint64_t MostLost
+constexpr uint64_t MaxLossStep
     = 70; ///< The message is lost at a step below this one; by then all requests are accepted.
 
 enum ScenarioIndex : size_t { Streams, Once, Operators, LongStreams, Steady };
 
 /// Disables one safeguard during its lifetime.
-class Without
+class DisabledSafeguard
 {
 public:
-    explicit Without(Safeguard safeguard) : safeguard_(safeguard) { setSafeguard(safeguard, false); }
-    ~Without() { setSafeguard(safeguard_, true); }
-    Without(const Without &) = delete;
-    Without &operator=(const Without &) = delete;
+    explicit DisabledSafeguard(Safeguard safeguard) : safeguard_(safeguard)
+    {
+        setSafeguard(safeguard, false);
+    }
+    ~DisabledSafeguard() { setSafeguard(safeguard_, true); }
+    DisabledSafeguard(const DisabledSafeguard &) = delete;
+    DisabledSafeguard &operator=(const DisabledSafeguard &) = delete;
 
 private:
     Safeguard safeguard_;
@@ -31,14 +34,14 @@
 
 // Runs the scenario with `faults`, the last of them at every `stride`-th step and the others at their fixed
 // steps. Returns the first breach that contains `expectedText`, or an empty string.
-std::string firstBreach(ScenarioIndex scenario, std::vector<FaultAt> faults, const std::string &wanted,
+std::string firstBreach(ScenarioIndex scenario, std::vector<FaultAt> faults, const std::string &expectedText,
                         uint64_t stride)
 {
     const uint64_t steps = std::min<uint64_t>(run(scenarios()[scenario], Fault::None, 0, Seed).steps, 400);
     for (uint64_t at = 0; at < steps; at += stride) {
         faults.back().at = at;
         for (const std::string &breach : run(scenarios()[scenario], faults, Seed).breaches) {
-            if (breach.find(wanted) != std::string::npos)
+            if (breach.find(expectedText) != std::string::npos)
                 return breach;
         }
     }
@@ -47,11 +50,11 @@
 
 // Proves that the check behind a safeguard can fail: with the safeguard no run has a breach, without it at
 // least one run has the expected breach.
-void checkNeeded(Safeguard safeguard, ScenarioIndex scenario, const std::vector<FaultAt> &faults,
-                 const std::string &wanted, uint64_t stride = 1)
+void checkSafeguardNeeded(Safeguard safeguard, ScenarioIndex scenario, const std::vector<FaultAt> &faults,
+                          const std::string &wanted, uint64_t stride = 1)
 {
     CHECK(firstBreach(scenario, faults, "", stride).empty());
-    const Without without(safeguard);
+    const DisabledSafeguard without(safeguard);
     const std::string breach = firstBreach(scenario, faults, wanted, stride);
     fmt::print("safeguard {} disabled: {}\n", static_cast<int>(safeguard), breach);
     CHECK_FALSE(breach.empty());
@@ -63,14 +66,14 @@
 // twice.
 TEST_CASE("without the register a duplicated call runs twice")
 {
-    checkNeeded(Safeguard::RegisterBeforeDispatch, Once, {{Fault::None, 0}}, "ran 2 times");
+    checkSafeguardNeeded(Safeguard::RegisterBeforeDispatch, Once, {{Fault::None, 0}}, "ran 2 times");
 }
 
 // The endpoint executes the call, and its connection goes silent before the answer. Without the safeguard the
 // entry sends the call to the next endpoint, which executes it again.
 TEST_CASE("without the rule against resending a call runs at two endpoints")
 {
-    checkNeeded(Safeguard::NoResendAfterSend, Once, {{Fault::SilentEndpoint, 0}}, "ran 2 times");
+    checkSafeguardNeeded(Safeguard::NoResendAfterSend, Once, {{Fault::SilentEndpoint, 0}}, "ran 2 times");
 }
 
 // After its notice an endpoint still answers, and the endpoint list lags behind. Without marks the endpoint
@@ -78,19 +81,19 @@
 TEST_CASE("without marks a leaving endpoint still gets new work")
 {
     CHECK(run(scenarios()[Steady], Fault::ReclaimEndpoint, 10, Seed).breaches.empty());
-    const Without without(Safeguard::LeavingMarks);
+    const DisabledSafeguard without(Safeguard::AvoidLeavingEndpoints);
     DurationMs last;
     for (uint64_t at = 0; at < 100; at += 10)
         last = std::max(last, run(scenarios()[Steady], Fault::ReclaimEndpoint, at, Seed).lastWorkAfterNotice);
     fmt::print("safeguard {} disabled: last new work {} ms after the notice\n",
-               static_cast<int>(Safeguard::LeavingMarks), last.count);
+               static_cast<int>(Safeguard::AvoidLeavingEndpoints), last.count);
     CHECK(last > DurationMs{1500});
 }
 
 // Two reads of the service are reordered. Without the rule the older configuration replaces the newer one.
 TEST_CASE("without the rule on revisions a daemon reverts to an older one")
 {
-    checkNeeded(Safeguard::RevisionOnlyGrows, Operators, {{Fault::None, 0}}, "went back");
+    checkSafeguardNeeded(Safeguard::MonotonicRevision, Operators, {{Fault::None, 0}}, "went back");
 }
 
 // The copy to the witness is lost, and the entry crashes after it reported "accepted" to the caller. Without
@@ -98,8 +101,8 @@
 TEST_CASE("without the witness an accepted request is lost with its entry")
 {
     std::string found;
-    const Without without(Safeguard::WitnessBeforeAccept);
-    for (uint64_t lost = 0; lost < MostLost && found.empty(); ++lost) {
+    const DisabledSafeguard without(Safeguard::WitnessBeforeAccept);
+    for (uint64_t lost = 0; lost < MaxLossStep && found.empty(); ++lost) {
         for (uint64_t killed = lost + 1; killed < lost + 16 && found.empty(); ++killed) {
             const Report report
                 = run(scenarios()[Streams], {{Fault::LoseMessage, lost}, {Fault::KillDaemon, killed}}, Seed);
@@ -112,7 +115,7 @@
 
 TEST_CASE("with the witness the same pairs of faults lose nothing")
 {
-    for (uint64_t lost = 0; lost < MostLost; ++lost) {
+    for (uint64_t lost = 0; lost < MaxLossStep; ++lost) {
         for (uint64_t killed = lost + 1; killed < lost + 16; ++killed)
             CHECK(run(scenarios()[Streams], {{Fault::LoseMessage, lost}, {Fault::KillDaemon, killed}}, Seed)
                       .breaches.empty());
@@ -123,23 +126,24 @@
 // continue, and no token is generated twice; without it their witnesses start again when the notice expires.
 TEST_CASE("without the handover a reclaim generates open streams again")
 {
-    const auto mostTokens = [] {
-        uint64_t most = 0;
+    const auto maxGeneratedTokens = [] {
+        uint64_t maxTokens = 0;
         for (uint64_t at = 0; at < 400; at += 23) {
             const Report report = run(scenarios()[LongStreams], Fault::ReclaimDaemon, at, Seed);
             CHECK(report.breaches.empty());
-            most = std::max(most, report.generatedTokens);
+            maxTokens = std::max(maxTokens, report.generatedTokens);
         }
-        return most;
+        return maxTokens;
     };
-    constexpr uint64_t Asked = 780; // Three streams of 260 tokens.
-    const uint64_t with = mostTokens();
-    const Without without(Safeguard::HandoverOnReclaim);
-    const uint64_t again = mostTokens();
+    constexpr uint64_t RequestedTokens = 780; // Three streams of 260 tokens.
+    const uint64_t withHandover = maxGeneratedTokens();
+    const DisabledSafeguard without(Safeguard::HandoverOnReclaim);
+    const uint64_t withoutHandover = maxGeneratedTokens();
     fmt::print("safeguard {} disabled: {} tokens generated for {} requested; with it {}\n",
-               static_cast<int>(Safeguard::HandoverOnReclaim), again, Asked, with);
-    CHECK(with <= Asked + 3);
-    CHECK(again > Asked + 100);
+               static_cast<int>(Safeguard::HandoverOnReclaim), withoutHandover, RequestedTokens,
+               withHandover);
+    CHECK(withHandover <= RequestedTokens + 3);
+    CHECK(withoutHandover > RequestedTokens + 100);
 }
 
 namespace {
@@ -148,13 +152,13 @@
 // bytes of the first generation. Returns the offset at which the caller continues to read.
 uint64_t offsetForLateCaller()
 {
-    Identity identity;
-    identity.member = {{7}, {"entry"}, {"leioa"}, {"10.0.0.1", 1}, {"10.0.0.1", 2}, 1, {0}};
-    Daemon daemon(identity);
+    DaemonOptions options;
+    options.member = {{7}, {"entry"}, {"leioa"}, {"10.0.0.1", 1}, {"10.0.0.1", 2}, 1, {0}};
+    Daemon daemon(options);
     const std::string text
         = R"({"failureDomains":["leioa"],"organisations":[{"name":"o"}],"services":[{"name":"s","kind":"model",)"
           R"("endpoints":[{"name":"e","instance":"i","failureDomain":"leioa","address":"10.0.0.2:1"}]}]})";
-    daemon.step(TimeMs{1000}, ConfigurationSeen{{1}, text});
+    daemon.step(TimeMs{1000}, ConfigurationReceived{{1}, text});
     RequestCopy copy;
     copy.purpose = CopyPurpose::Handover;
     copy.request = {{9}, 1, {}};
@@ -183,18 +187,19 @@
 TEST_CASE("without the cut at the branch a late caller gets a mixed answer")
 {
     CHECK(offsetForLateCaller() == 3);
-    const Without without(Safeguard::CutAtBranch);
+    const DisabledSafeguard without(Safeguard::ResumeAtCommonText);
     CHECK(offsetForLateCaller() == 5);
 }
 
 TEST_CASE("without confirmation a change is accepted that only one daemon knows")
 {
-    checkNeeded(Safeguard::ConfirmBeforeAccepted, Operators, {{Fault::None, 0}}, "was accepted with");
+    checkSafeguardNeeded(Safeguard::ConfirmBeforeAccepted, Operators, {{Fault::None, 0}},
+                         "was accepted with");
 }
 
 // The write takes effect and its answer is lost. Without reading back, the operator gets a conflict reported.
 TEST_CASE("without reading back a written change is reported as a conflict")
 {
-    checkNeeded(Safeguard::ReadBackLostAnswer, Operators, {{Fault::PlatformLosesAnswer, 0}},
-                "told a conflict");
+    checkSafeguardNeeded(Safeguard::ReadBackAfterLostReply, Operators, {{Fault::PlatformLosesAnswer, 0}},
+                         "told a conflict");
 }
--- a/tests/simulation.cpp
+++ b/tests/simulation.cpp
@@ -39,7 +39,7 @@
     for (size_t i = 0; i < DaemonCount; ++i)
         seeds.push_back({"10.0.1.1", static_cast<uint16_t>(i + 1)});
     for (size_t i = 0; i < DaemonCount; ++i) {
-        Identity identity;
+        DaemonOptions identity;
         identity.member = {{random_.next() | 1},
                            {fmt::format("entry-{}", i)},
                            {Domains[i % Domains.size()]},
@@ -93,7 +93,7 @@
     const PeerInbound *peer = std::get_if<PeerInbound>(&event);
     if (peer)
         return !std::holds_alternative<Gossip>(peer->message);
-    return !std::holds_alternative<Tick>(event) && !std::holds_alternative<ConfigurationSeen>(event);
+    return !std::holds_alternative<Tick>(event) && !std::holds_alternative<ConfigurationReceived>(event);
 }
 
 void Simulation::deliver(size_t index, Incarnation life, Event event)
@@ -156,7 +156,7 @@
         }
         return;
     }
-    if (const AskPlatform *ask = std::get_if<AskPlatform>(&action))
+    if (const QueryPlatform *ask = std::get_if<QueryPlatform>(&action))
         return askPlatform(index, ask->question);
     if (std::holds_alternative<Stopped>(action)) {
         nodes_[index].stopped = true;
@@ -267,7 +267,7 @@
 
 // ---- Platform ----
 
-void Simulation::askPlatform(size_t index, const OnceQuestion &question)
+void Simulation::askPlatform(size_t index, const OnceQuery &question)
 {
     const Incarnation life = nodes_[index].info.incarnation;
     after(Hop * 2, [this, index, life, question] {
@@ -287,9 +287,9 @@
 void Simulation::readPlatform(size_t index)
 {
     if (now_ < platformDownUntil_)
-        return deliver(index, nodes_[index].info.incarnation, PlatformSilent{});
+        return deliver(index, nodes_[index].info.incarnation, PlatformUnreachable{});
     // The answer is on its way while another write may happen: what arrives may be old.
-    const ConfigurationSeen seen{stored_.revision, stored_.text};
+    const ConfigurationReceived seen{stored_.revision, stored_.text};
     const DurationMs way{static_cast<int64_t>(2 + random_.below(150))};
     after(way, [this, index, seen] { deliver(index, nodes_[index].info.incarnation, seen); });
 }
@@ -302,7 +302,7 @@
     for (const FakeEndpoint &fake : endpoints_) {
         // The list lags, and only one daemon reads it in time.
         if (fake.leavingSince && index == liveEntry(0) && now_ - *fake.leavingSince > DurationMs{300})
-            deliver(index, nodes_[index].info.incarnation, LeavingSeen{fake.endpoint.instance, Notice});
+            deliver(index, nodes_[index].info.incarnation, LeavingNotice{fake.endpoint.instance, Notice});
     }
     after(DurationMs{400}, [this, index] { pollPlatform(index); });
 }
@@ -323,17 +323,17 @@
     case ConfigurationChange::Step::Write: {
         const StoredConfiguration next = change->toWrite();
         if (now_ < platformDownUntil_) {
-            change->onWritten(ConfigurationChange::Write::Lost, {}, now_);
+            change->onWritten(ConfigurationChange::WriteResult::ReplyLost, {}, now_);
         } else if (next.revision != stored_.revision) {
-            change->onWritten(ConfigurationChange::Write::Failed, stored_.revision, now_);
+            change->onWritten(ConfigurationChange::WriteResult::NotApplied, stored_.revision, now_);
         } else {
             stored_ = next;
             stored_.revision = {++storeRevision_};
             if (loseAnswers_ > 0) {
                 --loseAnswers_;
-                change->onWritten(ConfigurationChange::Write::Lost, {}, now_);
+                change->onWritten(ConfigurationChange::WriteResult::ReplyLost, {}, now_);
             } else {
-                change->onWritten(ConfigurationChange::Write::Held, stored_.revision, now_);
+                change->onWritten(ConfigurationChange::WriteResult::Applied, stored_.revision, now_);
             }
         }
         break;
@@ -355,9 +355,9 @@
 {
     const bool written
         = std::find(stored_.changes.begin(), stored_.changes.end(), id) != stored_.changes.end();
-    if (change.verdict() == ConfigurationChange::Verdict::Conflict && written)
+    if (change.finalOutcome() == ConfigurationChange::ChangeOutcome::Conflict && written)
         breach(fmt::format("change {} was told a conflict, and is in force", id));
-    if (change.verdict() != ConfigurationChange::Verdict::Accepted)
+    if (change.finalOutcome() != ConfigurationChange::ChangeOutcome::Accepted)
         return;
     accepted_ = std::max(accepted_, change.revision());
     std::set<FailureDomainName> domains;
--- a/tests/simulation.h
+++ b/tests/simulation.h
@@ -103,7 +103,7 @@
     void sendPeer(size_t from, const SendPeer &send);
     void startWork(size_t node, const StartAttempt &start);
     void workOn(const WorkPtr &work);
-    void askPlatform(size_t node, const OnceQuestion &question);
+    void askPlatform(size_t node, const OnceQuery &question);
     void readPlatform(size_t node);
     void pollPlatform(size_t node);
     void changeConfiguration(size_t node, const std::string &id,
--- a/tests/simulation_callers.cpp
+++ b/tests/simulation_callers.cpp
@@ -26,8 +26,8 @@
             const size_t registrar = liveEntry(job.firstEntry + 1 + i);
             Daemon &daemon = *nodes_[registrar].daemon;
             const std::vector<Action> actions
-                = daemon.step(now_, CallerEntries{{nextCaller_++}, {"diputacion"}, true});
-            key = std::get<EntriesAnswer>(actions.front()).session;
+                = daemon.step(now_, CallerEntriesRequest{{nextCaller_++}, {"diputacion"}, true});
+            key = std::get<CallerEntriesReply>(actions.front()).session;
         }
         key.sequence = 1;
     } else if (job.kind == JobKind::OnceBare) {
@@ -116,7 +116,7 @@
             continue;
         }
         caller.connected = false;
-        deliver(entry, node.info.incarnation, CallerGone{caller.id});
+        deliver(entry, node.info.incarnation, CallerDisconnected{caller.id});
         reconnect(i);
     }
     after(DurationMs{100}, [this] { watchCallers(); });
@@ -230,7 +230,7 @@
             }
             simulation.connect(number, CallerResume{{}, a.request, caller->text.size(), caller->lineage});
         }
-        void operator()(const CallerElsewhere &a) const
+        void operator()(const CallerRedirected &a) const
         {
             Caller *caller = find(a.caller);
             if (!caller || a.entries.empty())
@@ -247,13 +247,13 @@
             if (++caller->tries < CallerTries)
                 simulation.after(pause, [self, number] { self->submit(number); });
         }
-        void operator()(const EntriesAnswer &) const { }
+        void operator()(const CallerEntriesReply &) const { }
         void operator()(const ConfigurationInForce &) const { }
         void operator()(const Stopped &) const { }
         void operator()(const SendPeer &) const { }
         void operator()(const StartAttempt &) const { }
         void operator()(const CancelAttempt &) const { }
-        void operator()(const AskPlatform &) const { }
+        void operator()(const QueryPlatform &) const { }
     };
     std::visit(Reader{*this}, action);
 }
--- a/tests/simulation_faults.cpp
+++ b/tests/simulation_faults.cpp
@@ -26,7 +26,7 @@
     if (!node.up || node.reclaimedAt)
         return;
     node.reclaimedAt = now_;
-    deliver(index, node.info.incarnation, LeavingSeen{node.info.instance, Notice});
+    deliver(index, node.info.incarnation, LeavingNotice{node.info.instance, Notice});
     after(Notice, [this, index] {
         if (!nodes_[index].stopped)
             killDaemon(index);
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -18,12 +18,12 @@
         R"({"time_ms":9000,"instance":"entry-1","event":"store_regained"})",
         "not a log line",
         "{\"broken"};
-    const std::vector<std::string> story = traceRequest("r1", lines);
-    REQUIRE(story.size() == 4);
-    CHECK(story[0] == "  -500 ms   entry-1 endpoint endpoint=\"i-1\" leaving=true");
-    CHECK(story[1] == "  -200 ms   entry-1 store_lost");
-    CHECK(story[2] == "    +0 ms * entry-1 send endpoint=\"i-1\" age_ms=3");
-    CHECK(story[3] == "  +200 ms * entry-1 refused reason=\"timed_out\"");
+    const std::vector<std::string> trace = traceRequest("r1", lines);
+    REQUIRE(trace.size() == 4);
+    CHECK(trace[0] == "  -500 ms   entry-1 endpoint endpoint=\"i-1\" leaving=true");
+    CHECK(trace[1] == "  -200 ms   entry-1 store_lost");
+    CHECK(trace[2] == "    +0 ms * entry-1 send endpoint=\"i-1\" age_ms=3");
+    CHECK(trace[3] == "  +200 ms * entry-1 refused reason=\"timed_out\"");
     CHECK(traceRequest("unknown", lines).empty());
 }
 
@@ -36,11 +36,11 @@
         R"({"time_ms":1100,"instance":"a","event":"lost_with_endpoint","digest":"d1","request":"r0","endpoint":"m1"})",
         R"({"time_ms":9000,"instance":"b","event":"send","digest":"d1","request":"r1","endpoint":"m2"})",
         R"({"time_ms":9050,"instance":"b","event":"send","digest":"d2","request":"r2","endpoint":"m2"})"};
-    const std::vector<std::string> story = traceRequest("r1", lines);
-    REQUIRE(story.size() == 3);
-    CHECK(story[0].find(" = a send") != std::string::npos);
-    CHECK(story[1].find("lost_with_endpoint") != std::string::npos);
-    CHECK(story[2].find(" * b send") != std::string::npos);
+    const std::vector<std::string> trace = traceRequest("r1", lines);
+    REQUIRE(trace.size() == 3);
+    CHECK(trace[0].find(" = a send") != std::string::npos);
+    CHECK(trace[1].find("lost_with_endpoint") != std::string::npos);
+    CHECK(trace[2].find(" * b send") != std::string::npos);
 }
 
 TEST_CASE("a roll-out's trace has its stages and the daemons that suspected the version first")
@@ -51,8 +51,8 @@
         R"({"time_ms":4300,"instance":"a","event":"rollout_stage","service":"s","stage":"rolled_back","why":"bad"})",
         R"({"time_ms":4200,"instance":"b","event":"version_suspected","service":"s","answers":29,"bad":10})",
         R"({"time_ms":4200,"instance":"b","event":"version_suspected","service":"t","answers":29,"bad":10})"};
-    const std::vector<std::string> story = traceRollouts("s", lines);
-    REQUIRE(story.size() == 3);
-    CHECK(story[1] == " +3200 ms b version_suspected service=\"s\" answers=29 bad=10");
-    CHECK(story[2] == " +3300 ms a rollout_stage service=\"s\" stage=\"rolled_back\" why=\"bad\"");
+    const std::vector<std::string> trace = traceRollouts("s", lines);
+    REQUIRE(trace.size() == 3);
+    CHECK(trace[1] == " +3200 ms b version_suspected service=\"s\" answers=29 bad=10");
+    CHECK(trace[2] == " +3300 ms a rollout_stage service=\"s\" stage=\"rolled_back\" why=\"bad\"");
 }
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -97,15 +97,15 @@
 TEST_CASE("request ids and addresses round-trip through text")
 {
     const RequestId id{{0xabcdef}, 77, {0x123}};
-    const std::optional<RequestId> read = requestIdFromText(toText(id));
-    REQUIRE(read);
-    CHECK(*read == id);
-    CHECK(read->witness == id.witness);
-    for (const char *wrong : {"", "1", "1-2", "1-2-", "x-1-2", "1--2", "1-2-3-4"})
-        CHECK_FALSE(requestIdFromText(wrong));
+    const std::optional<RequestId> parsed = requestIdFromText(toText(id));
+    REQUIRE(parsed);
+    CHECK(*parsed == id);
+    CHECK(parsed->witness == id.witness);
+    for (const char *invalid : {"", "1", "1-2", "1-2-", "x-1-2", "1--2", "1-2-3-4"})
+        CHECK_FALSE(requestIdFromText(invalid));
     CHECK(addressFromText("127.0.0.1:80") == Address{"127.0.0.1", 80});
-    for (const char *wrong : {"", ":80", "h:", "h:0", "h:65536", "h:8x"})
-        CHECK_FALSE(addressFromText(wrong));
+    for (const char *invalid : {"", ":80", "h:", "h:0", "h:65536", "h:8x"})
+        CHECK_FALSE(addressFromText(invalid));
 }
 
 TEST_CASE("a caller resumes at the end of the text that all later generations share")
@@ -186,22 +186,22 @@
     EndpointTable table;
     table.configure(configuration);
     const std::string prompt(4096, 'x');
-    RoutingQuestion question{
+    RoutingQuery query{
         configuration.services[0], {}, PrefixIndex::blockHashes(prompt), predictedTokens(prompt), {}};
-    CHECK(question.prefix.size() == 4096 / PrefixIndex::BlockBytes);
+    CHECK(query.prefix.size() == 4096 / PrefixIndex::BlockBytes);
     MarkTable marks;
     Random random(1);
-    const uint32_t first = *table.choose(question, marks, TimeMs{0}, random);
-    table.started(first, question);
-    table.finished(table.at(first).endpoint.name, question.workTokens);
+    const uint32_t first = *table.choose(query, marks, TimeMs{0}, random);
+    table.started(first, query);
+    table.finished(table.at(first).endpoint.name, query.workTokens);
     for (int i = 0; i < 50; ++i)
-        CHECK(*table.choose(question, marks, TimeMs{0}, random) == first);
+        CHECK(*table.choose(query, marks, TimeMs{0}, random) == first);
     table.at(first).outstandingTokens = 100'000;
     for (int i = 0; i < 50; ++i)
-        CHECK(*table.choose(question, marks, TimeMs{0}, random) != first);
+        CHECK(*table.choose(query, marks, TimeMs{0}, random) != first);
     marks.add({MarkKind::EndpointLeaving, {"i3"}, {}, {}}, TimeMs{0});
     for (int i = 0; i < 200; ++i)
-        CHECK(*table.choose(question, marks, TimeMs{0}, random) != 3);
+        CHECK(*table.choose(query, marks, TimeMs{0}, random) != 3);
 }
 
 // A member that does not reply to a probe is suspected, then declared gone after the suspicion timeout. It
@@ -213,11 +213,11 @@
     Counters counters;
     Random random(1);
     const MemberInfo other{{2}, {"b"}, {"d2"}, {}, {"h", 2}, 5, {3}};
-    members.heardFrom(other, TimeMs{1000}, counters);
+    members.recordContact(other, TimeMs{1000}, counters);
     CHECK(members.isAlive({2}));
-    CHECK(members.targets(random, TimeMs{1100}).size() == 1);
+    CHECK(members.probeTargets(random, TimeMs{1100}).size() == 1);
     members.tick(TimeMs{1700});
-    REQUIRE(members.suspicions().size() == 1);
+    REQUIRE(members.takeSuspicions().size() == 1);
     CHECK(members.isAlive({2}));
     members.tick(TimeMs{3300});
     CHECK_FALSE(members.isAlive({2}));
--- a/tools/caller.cpp
+++ b/tools/caller.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr uint32_t MaxFailures = 40;
-constexpr DurationMs FailurePause{150};
+constexpr uint32_t MaxRetries = 40;
+constexpr DurationMs ReconnectDelay{150};
 
 json::value parsed(const std::string &text)
 {
-    json::value value = parsedOrNull(text);
+    json::value value = parseOrNull(text);
     return value.is_object() ? value : json::value(json::object());
 }
 
@@ -38,8 +38,8 @@
 }
 
 CallerClient::CallerClient(boost::asio::io_context &io, HttpClient &http, std::vector<Address> entries,
-                           Job job, Done done)
-    : io_(io), http_(http), entries_(std::move(entries)), job_(std::move(job)), done_(std::move(done))
+                           Job job, CompletionHandler done)
+    : io_(io), http_(http), entries_(std::move(entries)), job_(std::move(job)), onComplete_(std::move(done))
 { }
 
 int64_t CallerClient::nowMs() const
@@ -83,7 +83,7 @@
         request.target = "/v1/services/" + job_.service + job_.path;
         request.body = job_.prompt;
     }
-    begin(nextEntry(), std::move(request));
+    sendRequest(nextEntry(), std::move(request));
 }
 
 void CallerClient::resume(const Address &entry)
@@ -93,10 +93,10 @@
     request.target = "/v1/requests/" + result_.requestId;
     if (job_.chat)
         request.headers = {{"Accept", "text/event-stream"}, {"Last-Event-ID", lastEventId_}};
-    begin(entry, std::move(request));
+    sendRequest(entry, std::move(request));
 }
 
-void CallerClient::begin(const Address &entry, HttpRequest request)
+void CallerClient::sendRequest(const Address &entry, HttpRequest request)
 {
     ++result_.connections;
     entry_ = entry;
@@ -105,7 +105,7 @@
     buffer_.clear();
     movedTo_.clear();
     errorBody_.clear();
-    sawEnd_ = false;
+    sawAnswerSummary_ = false;
     sawDone_ = false;
     HttpCall call;
     call.address = entry;
@@ -159,7 +159,7 @@
     }
     const json::value value = parsed(payload);
     if (value.as_object().contains("moved")) {
-        movedTo_ = textAt(value.at("moved"), "location");
+        movedTo_ = stringField(value.at("moved"), "location");
         return;
     }
     if (value.as_object().contains("error")) {
@@ -167,16 +167,16 @@
         return;
     }
     if (value.as_object().contains("answer")) {
-        digest_ = textAt(value.at("answer"), "digest");
-        length_ = numberAt(value.at("answer"), "length");
-        sawEnd_ = true;
+        expectedDigest_ = stringField(value.at("answer"), "digest");
+        expectedLength_ = numberField(value.at("answer"), "length");
+        sawAnswerSummary_ = true;
         return;
     }
     if (result_.text.empty() && result_.firstToken.count == 0)
         result_.firstToken = {std::max<int64_t>(1, nowMs() - startedAt_)};
-    const uint64_t offset = numberAt(value, "offset");
+    const uint64_t offset = numberField(value, "offset");
     result_.text.resize(std::min<size_t>(result_.text.size(), offset));
-    result_.text += textAt(value.at("choices").as_array().front().at("delta"), "content");
+    result_.text += stringField(value.at("choices").as_array().front().at("delta"), "content");
     if (event.starts_with("id: "))
         lastEventId_ = event.substr(4, event.find('\n') - 4);
 }
@@ -189,58 +189,61 @@
 
     // Step 1: the request was redirected, or its stream was moved to another entry.
     if (failure == HttpFailure::None && (status_ == 307 || status_ == 303 || !movedTo_.empty())) {
-        ++result_.moves;
+        ++result_.redirectsFollowed;
         const Address target = addressOf(movedTo_.empty() ? headerOf(headers_, "Location") : movedTo_);
         if (status_ == 307)
-            return again({1}, [self = shared_from_this()] { self->submit(); });
-        return again({1}, [self = shared_from_this(), target] { self->resume(target); });
+            return scheduleRetry({1}, [self = shared_from_this()] { self->submit(); });
+        return scheduleRetry({1}, [self = shared_from_this(), target] { self->resume(target); });
     }
     // Step 2: a final error, or the complete answer.
     if (failure == HttpFailure::None && (status_ >= 400 || !errorBody_.empty()))
         return onRefused();
     if (failure == HttpFailure::None && status_ == 200 && (!job_.chat || sawDone_))
-        return judge();
+        return verifyAnswer();
     // Step 3: the connection failed or timed out. Resumes by request id if there is one, otherwise sends the
     // job again if a retry is safe.
-    if (++failures_ > MaxFailures)
+    if (++failedConnections_ > MaxRetries)
         return finish(JobOutcome::GaveUp, "connections");
     if (hasId)
-        return again(FailurePause, [self = shared_from_this()] { self->resume(self->nextEntry()); });
+        return scheduleRetry(ReconnectDelay,
+                             [self = shared_from_this()] { self->resume(self->nextEntry()); });
     if (job_.nonIdempotent && job_.key.empty() && mayHaveArrived(failure))
         return finish(JobOutcome::Unknown, "connectionBrokenWithoutKey");
-    again(FailurePause, [self = shared_from_this()] { self->submit(); });
+    scheduleRetry(ReconnectDelay, [self = shared_from_this()] { self->submit(); });
 }
 
 void CallerClient::onRefused()
 {
     const json::value refusal = parsed(errorBody_.empty() ? body_ : errorBody_);
-    const std::string outcome = textAt(refusal, "outcome");
-    const std::string reason = textAt(refusal, "reason");
+    const std::string outcome = stringField(refusal, "outcome");
+    const std::string reason = stringField(refusal, "reason");
     ++result_.refusals;
     if (outcome != "notRun")
         return finish(JobOutcome::Unknown, reason);
-    const int64_t wait = static_cast<int64_t>(numberAt(refusal, "retryAfterMs"));
+    const int64_t wait = static_cast<int64_t>(numberField(refusal, "retryAfterMs"));
     const bool inTime = nowMs() - startedAt_ + wait < job_.deadline.count;
-    if (wait <= 0 || !inTime || result_.refusals > MaxFailures)
+    if (wait <= 0 || !inTime || result_.refusals > MaxRetries)
         return finish(JobOutcome::NotRun, reason);
     ++attempt_;
-    again({wait}, [self = shared_from_this()] { self->submit(); });
+    scheduleRetry({wait}, [self = shared_from_this()] { self->submit(); });
 }
 
-void CallerClient::judge()
+void CallerClient::verifyAnswer()
 {
     if (!job_.chat) {
         result_.text = body_;
-        digest_ = headerOf(headers_, "X-Answer-Digest");
-        length_ = std::strtoull(headerOf(headers_, "X-Answer-Length").c_str(), nullptr, 10);
-        sawEnd_ = true;
+        expectedDigest_ = headerOf(headers_, "X-Answer-Digest");
+        expectedLength_ = std::strtoull(headerOf(headers_, "X-Answer-Length").c_str(), nullptr, 10);
+        sawAnswerSummary_ = true;
     }
     const std::string digest = fmt::format("{:016x}", digestOf(result_.text));
-    if (!sawEnd_ || length_ != result_.text.size() || digest != digest_)
+    if (!sawAnswerSummary_ || expectedLength_ != result_.text.size() || digest != expectedDigest_)
         return finish(JobOutcome::Wrong, "digest");
-    const bool own = job_.chat ? result_.text == standin::answerOf(job_.prompt + "\n", job_.expectedTokens)
-                               : result_.text.find(job_.prompt) != std::string::npos;
-    finish(own ? JobOutcome::Whole : JobOutcome::Wrong, own ? "" : "anotherAnswer");
+    const bool isExpectedAnswer = job_.chat
+        ? result_.text == standin::expectedAnswer(job_.prompt + "\n", job_.expectedTokens)
+        : result_.text.find(job_.prompt) != std::string::npos;
+    finish(isExpectedAnswer ? JobOutcome::Complete : JobOutcome::Wrong,
+           isExpectedAnswer ? "" : "anotherAnswer");
 }
 
 void CallerClient::finish(JobOutcome outcome, const std::string &reason)
@@ -250,10 +253,10 @@
     result_.reason = reason;
     result_.entry = entry_;
     result_.total = {nowMs() - startedAt_};
-    done_(job_, result_);
+    onComplete_(job_, result_);
 }
 
-void CallerClient::again(DurationMs wait, std::function<void()> action)
+void CallerClient::scheduleRetry(DurationMs wait, std::function<void()> action)
 {
     if (nowMs() - startedAt_ > job_.deadline.count + 5000)
         return finish(JobOutcome::GaveUp, "deadline");
--- a/tools/caller.h
+++ b/tools/caller.h
@@ -23,7 +23,7 @@
     DurationMs deadline{60000};
 };
 
-enum class JobOutcome : uint8_t { Whole, Wrong, NotRun, Unknown, GaveUp };
+enum class JobOutcome : uint8_t { Complete, Wrong, NotRun, Unknown, GaveUp };
 
 struct JobResult {
     JobOutcome outcome = JobOutcome::GaveUp;
@@ -32,7 +32,7 @@
     std::string text;
     uint32_t connections = 0;
     uint32_t resumes = 0;
-    uint32_t moves = 0;
+    uint32_t redirectsFollowed = 0;
     uint32_t refusals = 0;
     DurationMs firstToken;
     DurationMs total;
@@ -47,24 +47,24 @@
 class CallerClient : public std::enable_shared_from_this<CallerClient>
 {
 public:
-    using Done = std::function<void(const Job &, const JobResult &)>;
+    using CompletionHandler = std::function<void(const Job &, const JobResult &)>;
 
     CallerClient(boost::asio::io_context &io, HttpClient &http, std::vector<Address> entries, Job job,
-                 Done done);
+                 CompletionHandler done);
     void start();
 
 private:
     void submit();
     void resume(const Address &entry);
-    void begin(const Address &entry, HttpRequest request);
+    void sendRequest(const Address &entry, HttpRequest request);
     void onHead(int status, const HttpHeaders &headers);
     void onData(const char *data, size_t size);
     void onEvent(const std::string &event);
     void onDone(HttpFailure failure);
     void onRefused();
-    void judge();
+    void verifyAnswer();
     void finish(JobOutcome outcome, const std::string &reason);
-    void again(DurationMs wait, std::function<void()> action);
+    void scheduleRetry(DurationMs wait, std::function<void()> action);
     const Address &nextEntry();
     int64_t nowMs() const;
 
@@ -72,12 +72,12 @@
     HttpClient &http_;
     std::vector<Address> entries_;
     Job job_;
-    Done done_;
+    CompletionHandler onComplete_;
     JobResult result_;
     Address entry_;
     size_t entryIndex_ = 0;
     uint32_t attempt_ = 1;
-    uint32_t failures_ = 0;
+    uint32_t failedConnections_ = 0;
     int64_t startedAt_ = 0;
     bool finished_ = false;
 
@@ -86,9 +86,9 @@
     std::string body_;
     std::string buffer_;
     std::string lastEventId_;
-    std::string digest_;
-    uint64_t length_ = 0;
-    bool sawEnd_ = false;
+    std::string expectedDigest_;
+    uint64_t expectedLength_ = 0;
+    bool sawAnswerSummary_ = false;
     bool sawDone_ = false;
     std::string movedTo_;
     std::string errorBody_;
--- a/tools/checker.cpp
+++ b/tools/checker.cpp
@@ -35,11 +35,11 @@
     uint64_t jobs = 0;
     uint64_t breaches = 0;
     while (std::getline(in, line)) {
-        std::istringstream words(line);
+        std::istringstream logFields(line);
         std::string kind;
         std::string outcome;
         std::string body;
-        words >> kind >> outcome >> body;
+        logFields >> kind >> outcome >> body;
         ++jobs;
         std::string breach;
         if (outcome == "wrong")
--- a/tools/cranberryctl.cpp
+++ b/tools/cranberryctl.cpp
@@ -100,32 +100,33 @@
     const HttpResponse response = callDaemon(options, "GET", "/admin/configuration", "");
     if (response.failure != HttpFailure::None)
         return show(response);
-    fmt::print("{}", textAt(parsedOrNull(response.body), "text"));
+    fmt::print("{}", stringField(parseOrNull(response.body), "text"));
     return 0;
 }
 
-using Story = std::vector<std::string> (*)(const std::string &, const std::vector<std::string> &);
+using TraceFunction = std::vector<std::string> (*)(const std::string &, const std::vector<std::string> &);
 
 // Prints the trace of a request or a service from the daemons' logs.
-int tell(const CommandLine &line, Story story, const std::string &thing)
+int printTrace(const CommandLine &line, TraceFunction traceFunction, const std::string &subjectKind)
 {
     if (line.arguments().size() < 3)
-        return line.fail(fmt::format("{} needs a {} and at least one log file", line.arguments()[0], thing));
+        return line.fail(
+            fmt::format("{} needs a {} and at least one log file", line.arguments()[0], subjectKind));
     std::vector<std::string> lines;
     for (size_t i = 2; i < line.arguments().size(); ++i) {
         const std::optional<std::string> text = readFile(line.arguments()[i]);
         if (!text)
             return line.fail("can't read " + line.arguments()[i]);
-        std::vector<std::string> ofFile;
-        boost::algorithm::split(ofFile, *text, [](char c) { return c == '\n'; });
-        lines.insert(lines.end(), ofFile.begin(), ofFile.end());
+        std::vector<std::string> fileLines;
+        boost::algorithm::split(fileLines, *text, [](char c) { return c == '\n'; });
+        lines.insert(lines.end(), fileLines.begin(), fileLines.end());
     }
-    const std::vector<std::string> told = story(line.arguments()[1], lines);
-    for (const std::string &each : told)
+    const std::vector<std::string> events = traceFunction(line.arguments()[1], lines);
+    for (const std::string &each : events)
         fmt::print("{}\n", each);
-    if (told.empty())
-        fmt::print(stderr, "cranberryctl: no event of that {} in the given log files\n", thing);
-    return told.empty() ? ExitFailed : 0;
+    if (events.empty())
+        fmt::print(stderr, "cranberryctl: no event of that {} in the given log files\n", subjectKind);
+    return events.empty() ? ExitFailed : 0;
 }
 
 int run(int argc, const char **argv)
@@ -142,9 +143,9 @@
         return line.exitCode();
     const std::string command = line.arguments().empty() ? "" : line.arguments().front();
     if (command == "trace")
-        return tell(line, traceRequest, "request");
+        return printTrace(line, traceRequest, "request");
     if (command == "rollout")
-        return tell(line, traceRollouts, "service");
+        return printTrace(line, traceRollouts, "service");
     if (!addressFromText(options.daemon))
         return line.fail("--daemon must be IP:PORT");
     if (command == "apply")
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -16,15 +16,15 @@
 
 constexpr int PlainShare = 30; ///< Percent of all jobs.
 constexpr int NonIdempotentShare = 50; ///< Percent of the plain calls.
-constexpr int BareKeyShare = 20; ///< Percent of the non-idempotent calls: key without a session.
+constexpr int SessionlessKeyShare = 20; ///< Percent of the non-idempotent calls: key without a session.
 
 struct EntriesReply {
     std::vector<Address> entries;
     std::string session;
 };
 
-EntriesReply askEntries(boost::asio::io_context &io, HttpClient &http, const Address &daemon,
-                        const std::string &organisation)
+EntriesReply fetchEntries(boost::asio::io_context &io, HttpClient &http, const Address &daemon,
+                          const std::string &organisation)
 {
     EntriesReply out;
     HttpCall call;
@@ -58,10 +58,10 @@
 }
 
 /// Starts the jobs of one load run at a fixed rate and summarises their results.
-class Load
+class LoadRun
 {
 public:
-    Load(const LoadOptions &options, EntriesReply reply)
+    LoadRun(const LoadOptions &options, EntriesReply reply)
         : options_(options), reply_(std::move(reply)), http_(io_), timer_(io_), random_(options.seed)
     {
         if (!options.callerLog.empty())
@@ -97,7 +97,7 @@
         job.nonIdempotent = static_cast<int>(random_() % 100) < NonIdempotentShare;
         if (!job.nonIdempotent)
             return job;
-        if (static_cast<int>(random_() % 100) < BareKeyShare) {
+        if (static_cast<int>(random_() % 100) < SessionlessKeyShare) {
             job.key = job.prompt;
         } else {
             job.session = reply_.session;
@@ -127,9 +127,9 @@
         if (!result.reason.empty())
             ++reasons_[fmt::format("{}:{}", toText(result.outcome), result.reason)];
         resumes_ += result.resumes;
-        moves_ += result.moves;
+        redirectsFollowed_ += result.redirectsFollowed;
         refusals_ += result.refusals;
-        if (job.chat && result.outcome == JobOutcome::Whole)
+        if (job.chat && result.outcome == JobOutcome::Complete)
             firstTokens_.push_back(result.firstToken.count);
         totals_.push_back(result.total.count);
         if (log_)
@@ -143,7 +143,7 @@
         for (const std::pair<const JobOutcome, uint64_t> &entry : outcomes_)
             fmt::print(" {} {}", toText(entry.first), entry.second);
         fmt::print("\n  refusals met and waited out {}, resumed {}, sent on {}\n", refusals_, resumes_,
-                   moves_);
+                   redirectsFollowed_);
         for (const std::pair<const std::string, uint64_t> &entry : reasons_)
             fmt::print("  {} {}\n", entry.first, entry.second);
         fmt::print("  entries used:");
@@ -152,7 +152,7 @@
         fmt::print("\n  first token p50 {} ms p95 {} ms; whole p50 {} ms p99 {} ms\n",
                    percentile(firstTokens_, 0.5), percentile(firstTokens_, 0.95), percentile(totals_, 0.5),
                    percentile(totals_, 0.99));
-        return outcomes_[JobOutcome::Whole] == started_ ? 0 : 1;
+        return outcomes_[JobOutcome::Complete] == started_ ? 0 : 1;
     }
 
     LoadOptions options_;
@@ -165,7 +165,7 @@
     uint64_t started_ = 0;
     uint64_t sequence_ = 0;
     uint64_t resumes_ = 0;
-    uint64_t moves_ = 0;
+    uint64_t redirectsFollowed_ = 0;
     uint64_t refusals_ = 0;
     std::map<JobOutcome, uint64_t> outcomes_;
     std::map<std::string, uint64_t> reasons_;
@@ -175,22 +175,22 @@
 };
 
 /// Sends small plain calls to one address at a fixed rate and records their latencies in microseconds.
-class Pace
+class FixedRateClient
 {
 public:
-    Pace(boost::asio::io_context &io, HttpClient &http, HttpCall call, int requests, int perSecond)
-        : http_(http), timer_(io), call_(std::move(call)), left_(requests), perSecond_(perSecond)
+    FixedRateClient(boost::asio::io_context &io, HttpClient &http, HttpCall call, int requests, int perSecond)
+        : http_(http), timer_(io), call_(std::move(call)), remaining_(requests), perSecond_(perSecond)
     { }
 
     void next()
     {
-        if (left_-- <= 0)
+        if (remaining_-- <= 0)
             return;
         const std::chrono::steady_clock::time_point startedAt = std::chrono::steady_clock::now();
         http_.fetch(call_, [this, startedAt](const HttpResponse &response) {
             const std::chrono::steady_clock::duration took = std::chrono::steady_clock::now() - startedAt;
             if (response.failure == HttpFailure::None && response.status == 200)
-                took_.push_back(std::chrono::duration_cast<std::chrono::microseconds>(took).count());
+                latenciesUs_.push_back(std::chrono::duration_cast<std::chrono::microseconds>(took).count());
             else
                 ++failed_;
         });
@@ -200,19 +200,19 @@
 
     void print(const char *name) const
     {
-        fmt::print("{}: {} answered, {} failed, p50 {} us, p99 {} us\n", name, took_.size(), failed_,
-                   percentile(took_, 0.5), percentile(took_, 0.99));
+        fmt::print("{}: {} answered, {} failed, p50 {} us, p99 {} us\n", name, latenciesUs_.size(), failed_,
+                   percentile(latenciesUs_, 0.5), percentile(latenciesUs_, 0.99));
     }
-    int64_t at(double share) const { return percentile(took_, share); }
+    int64_t latencyUs(double share) const { return percentile(latenciesUs_, share); }
 
 private:
     HttpClient &http_;
     boost::asio::steady_timer timer_;
     HttpCall call_;
-    int left_;
+    int remaining_;
     int perSecond_;
     uint64_t failed_ = 0;
-    std::vector<int64_t> took_;
+    std::vector<int64_t> latenciesUs_;
 };
 
 } // namespace
@@ -222,12 +222,12 @@
     boost::asio::io_context io;
     HttpClient http(io);
     const std::optional<Address> daemon = addressFromText(options.entry);
-    const EntriesReply reply = askEntries(io, http, daemon.value_or(Address{}), options.organisation);
+    const EntriesReply reply = fetchEntries(io, http, daemon.value_or(Address{}), options.organisation);
     if (reply.entries.empty()) {
         fmt::print(stderr, "cranberrybench: {} names no entries\n", options.entry);
         return 1;
     }
-    return Load(options, reply).run();
+    return LoadRun(options, reply).run();
 }
 
 int runCompare(const CompareOptions &options)
@@ -237,20 +237,20 @@
     HttpCall direct;
     direct.address = addressFromText(options.endpoint).value_or(Address{});
     direct.request = {"GET", "/lookup", {}, ""};
-    HttpCall through;
-    through.address = addressFromText(options.entry).value_or(Address{});
-    through.request = {
+    HttpCall viaDaemon;
+    viaDaemon.address = addressFromText(options.entry).value_or(Address{});
+    viaDaemon.request = {
         "GET", "/v1/services/" + options.service + "/lookup", {{"X-Organisation", options.organisation}}, ""};
-    Pace directPace(io, http, direct, options.requests, options.perSecond);
-    Pace throughPace(io, http, through, options.requests, options.perSecond);
-    directPace.next();
-    throughPace.next();
+    FixedRateClient directClient(io, http, direct, options.requests, options.perSecond);
+    FixedRateClient daemonClient(io, http, viaDaemon, options.requests, options.perSecond);
+    directClient.next();
+    daemonClient.next();
     io.run();
-    directPace.print("direct ");
-    throughPace.print("through");
+    directClient.print("direct ");
+    daemonClient.print("through");
     fmt::print("added: p50 {} us, p99 {} us at {} requests a second\n",
-               throughPace.at(0.5) - directPace.at(0.5), throughPace.at(0.99) - directPace.at(0.99),
-               options.perSecond);
+               daemonClient.latencyUs(0.5) - directClient.latencyUs(0.5),
+               daemonClient.latencyUs(0.99) - directClient.latencyUs(0.99), options.perSecond);
     return 0;
 }
 
--- a/tools/slopes.cpp
+++ b/tools/slopes.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr DurationMs Hop{1};
+constexpr DurationMs NetworkDelay{1};
 
 double microsSince(std::chrono::steady_clock::time_point start)
 {
@@ -51,11 +51,11 @@
     }
     const double slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
     const double base = (sy - slope * sx) / n;
-    double spread = 0;
+    double maxResidual = 0;
     for (const Point &point : points)
-        spread = std::max(spread, std::abs(point.value - base - slope * point.size));
+        maxResidual = std::max(maxResidual, std::abs(point.value - base - slope * point.size));
     fmt::print("slope | {} | {:.4g} {} each, base {:.4g}, spread {:.2g} |{}\n", name, slope, unit, base,
-               spread, values);
+               maxResidual, values);
 }
 
 std::string configurationText(size_t endpoints)
@@ -84,7 +84,7 @@
         for (size_t i = 0; i < std::min<size_t>(count, 5); ++i)
             seeds.push_back(peerAddress(i));
         for (size_t i = 0; i < count; ++i) {
-            Identity identity;
+            DaemonOptions identity;
             identity.member = {{1000 + i},
                                {fmt::format("entry-{}", i)},
                                {fmt::format("d{}", i % 22)},
@@ -115,24 +115,25 @@
             return;
         const std::chrono::steady_clock::time_point start = std::chrono::steady_clock::now();
         const std::vector<Action> actions = daemons_[index]->step(now_, event);
-        micros_ += microsSince(start);
+        cpuMicros_ += microsSince(start);
         for (const Action &action : actions) {
             const SendPeer *send = std::get_if<SendPeer>(&action);
             if (!send)
                 continue;
             const std::chrono::steady_clock::time_point encodeStart = std::chrono::steady_clock::now();
             std::string bytes = encodeEnvelope({daemons_[index]->world().self(), send->to, send->message});
-            micros_ += microsSince(encodeStart);
+            cpuMicros_ += microsSince(encodeStart);
             bytes_ += bytes.size();
             ++messages_;
-            wire_.push_back({now_ + Hop, static_cast<size_t>(send->address.port - 1), std::move(bytes)});
+            inFlight_.push_back(
+                {now_ + NetworkDelay, static_cast<size_t>(send->address.port - 1), std::move(bytes)});
         }
     }
 
     void kill(size_t index) { dead_[index] = true; }
     void resetCounts()
     {
-        micros_ = 0;
+        cpuMicros_ = 0;
         bytes_ = 0;
         messages_ = 0;
     }
@@ -154,7 +155,7 @@
     }
 
     TimeMs now() const { return now_; }
-    double micros() const { return micros_; }
+    double cpuMicros() const { return cpuMicros_; }
     double bytes() const { return static_cast<double>(bytes_); }
     double messages() const { return static_cast<double>(messages_); }
     double count() const { return static_cast<double>(daemons_.size()); }
@@ -172,15 +173,15 @@
     void deliver()
     {
         std::vector<Datagram> due;
-        due.swap(wire_);
+        due.swap(inFlight_);
         for (Datagram &datagram : due) {
             if (datagram.at > now_) {
-                wire_.push_back(std::move(datagram));
+                inFlight_.push_back(std::move(datagram));
                 continue;
             }
             const std::chrono::steady_clock::time_point start = std::chrono::steady_clock::now();
             const std::optional<PeerEnvelope> envelope = decodeEnvelope(datagram.bytes);
-            micros_ += microsSince(start);
+            cpuMicros_ += microsSince(start);
             if (envelope)
                 step(datagram.to, PeerInbound{envelope->from, envelope->to, envelope->message});
         }
@@ -188,9 +189,9 @@
 
     std::vector<std::unique_ptr<Daemon>> daemons_;
     std::vector<bool> dead_;
-    std::vector<Datagram> wire_;
+    std::vector<Datagram> inFlight_;
     TimeMs now_{100'000};
-    double micros_ = 0;
+    double cpuMicros_ = 0;
     uint64_t bytes_ = 0;
     uint64_t messages_ = 0;
 };
@@ -204,34 +205,35 @@
         const size_t before = heapBytes();
         Cluster cluster(count);
         cluster.runUntil(cluster.now() + DurationMs{6000});
-        const double held = static_cast<double>(heapBytes() - before) / cluster.count();
+        const double heapPerDaemon = static_cast<double>(heapBytes() - before) / cluster.count();
         cluster.resetCounts();
         constexpr int64_t Seconds = 5;
         cluster.runUntil(cluster.now() + DurationMs{Seconds * 1000});
         const double size = cluster.count();
-        cpu.push_back({size, cluster.micros() / size / Seconds});
+        cpu.push_back({size, cluster.cpuMicros() / size / Seconds});
         bytes.push_back({size, cluster.bytes() / size / Seconds});
-        heap.push_back({size, held});
-        uint64_t known = ~0ULL;
+        heap.push_back({size, heapPerDaemon});
+        uint64_t minKnownDaemons = ~0ULL;
         for (size_t i = 0; i < count; ++i)
-            known = std::min<uint64_t>(known, cluster.world(i).members.aliveCount());
+            minKnownDaemons = std::min<uint64_t>(minKnownDaemons, cluster.world(i).members.aliveCount());
 
-        cluster.step(0, ConfigurationSeen{{5}, configurationText(16)});
-        const int64_t force
+        cluster.step(0, ConfigurationReceived{{5}, configurationText(16)});
+        const int64_t inForceMs
             = cluster.timeUntilAll([](const World &world) { return world.revision >= Revision{5}; }, {20000});
-        cluster.step(1, LeavingSeen{{"i-00000001"}, DurationMs{4000}});
-        const int64_t mark = cluster.timeUntilAll(
+        cluster.step(1, LeavingNotice{{"i-00000001"}, DurationMs{4000}});
+        const int64_t markMs = cluster.timeUntilAll(
             [](const World &world) { return world.marks.isLeaving(InstanceName{"i-00000001"}); }, {20000});
         cluster.kill(2);
-        const int64_t gone = cluster.timeUntilAll(
+        const int64_t deathSeenMs = cluster.timeUntilAll(
             [](const World &world) { return !world.members.isAlive({1002}); }, {60000});
-        uint64_t wrong = 0;
+        uint64_t falseSuspicions = 0;
         for (size_t i = 0; i < count; ++i)
-            wrong += cluster.world(i).counters.of(Counter::FalseSuspicion);
+            falseSuspicions += cluster.world(i).counters.of(Counter::FalseSuspicion);
         fmt::print("daemons {} | least known {} | messages {:.1f}/s | in force everywhere {} ms | mark "
                    "everywhere {} ms | "
                    "death seen by all {} ms | false suspicions {}\n",
-                   count, known, cluster.messages() / size / Seconds, force, mark, gone, wrong);
+                   count, minKnownDaemons, cluster.messages() / size / Seconds, inForceMs, markMs,
+                   deathSeenMs, falseSuspicions);
     }
     printSlope("gossip processor time a daemon, us/s, by daemons", "us/s", cpu);
     printSlope("gossip bytes sent a daemon, B/s, by daemons", "B/s", bytes);
@@ -248,7 +250,7 @@
         const size_t before = heapBytes();
         Cluster cluster(1);
         const std::chrono::steady_clock::time_point start = std::chrono::steady_clock::now();
-        cluster.step(0, ConfigurationSeen{{1}, text});
+        cluster.step(0, ConfigurationReceived{{1}, text});
         parse.push_back({static_cast<double>(count), microsSince(start) / 1000});
         size.push_back({static_cast<double>(count), static_cast<double>(text.size())});
         heap.push_back({static_cast<double>(count), static_cast<double>(heapBytes() - before)});
@@ -258,35 +260,35 @@
     printSlope("configuration and endpoint table, heap B, by endpoints", "B", heap);
 }
 
-void measureChoice()
+void measureEndpointSelection()
 {
-    std::vector<Point> mean;
+    std::vector<Point> medians;
     for (const size_t count : {13, 128, 1000, 4000, 12000}) {
         const Configuration configuration = *parseConfiguration(configurationText(count));
         EndpointTable table;
         table.configure(configuration);
         MarkTable marks;
         Random random(3);
-        std::vector<double> took;
+        std::vector<double> latenciesUs;
         for (int i = 0; i < 400; ++i) {
             const std::string prompt = fmt::format("{:04}", i % 50) + std::string(4000, 'p');
             const std::chrono::steady_clock::time_point start = std::chrono::steady_clock::now();
-            RoutingQuestion question{configuration.services[0],
-                                     configuration.weights,
-                                     PrefixIndex::blockHashes(prompt),
-                                     predictedTokens(prompt),
-                                     {}};
+            RoutingQuery question{configuration.services[0],
+                                  configuration.weights,
+                                  PrefixIndex::blockHashes(prompt),
+                                  predictedTokens(prompt),
+                                  {}};
             const std::optional<uint32_t> index = table.choose(question, marks, TimeMs{1}, random);
-            took.push_back(microsSince(start));
+            latenciesUs.push_back(microsSince(start));
             table.started(*index, question);
             table.finished(table.at(*index).endpoint.name, question.workTokens);
         }
-        std::sort(took.begin(), took.end());
-        mean.push_back({static_cast<double>(count), took[took.size() / 2]});
+        std::sort(latenciesUs.begin(), latenciesUs.end());
+        medians.push_back({static_cast<double>(count), latenciesUs[latenciesUs.size() / 2]});
         fmt::print("choice among {} endpoints | p50 {:.1f} us | p99 {:.1f} us\n", count,
-                   took[took.size() / 2], took[took.size() * 99 / 100]);
+                   latenciesUs[latenciesUs.size() / 2], latenciesUs[latenciesUs.size() * 99 / 100]);
     }
-    printSlope("choice of an endpoint, p50 us, by endpoints", "us", mean);
+    printSlope("choice of an endpoint, p50 us, by endpoints", "us", medians);
 }
 
 void measureRegister()
@@ -300,7 +302,7 @@
         const std::chrono::steady_clock::time_point start = std::chrono::steady_clock::now();
         for (uint64_t i = 0; i < count; ++i) {
             const uint64_t session = i % PerSession == 0 ? registry.openSession() : i / PerSession + 1;
-            OnceQuestion question;
+            OnceQuery question;
             question.key = {{1}, session, i % PerSession + 1, {}};
             question.request = {{2}, i, {}};
             registry.answer(question, {2});
@@ -320,7 +322,7 @@
     for (const uint64_t count : {250, 1000, 4000, 16000}) {
         const size_t before = heapBytes();
         Cluster cluster(1);
-        cluster.step(0, ConfigurationSeen{{1}, configurationText(1000)});
+        cluster.step(0, ConfigurationReceived{{1}, configurationText(1000)});
         for (uint64_t i = 0; i < count; ++i) {
             RequestSpec spec;
             spec.organisation = {"o"};
@@ -334,7 +336,7 @@
         constexpr int Ticks = 50;
         for (int i = 0; i < Ticks; ++i)
             cluster.step(0, Tick{});
-        tick.push_back({static_cast<double>(count), cluster.micros() / Ticks});
+        tick.push_back({static_cast<double>(count), cluster.cpuMicros() / Ticks});
     }
     printSlope("a tick, us, by requests held", "us", tick);
     printSlope("requests with a body of 4 KB, heap B, by requests", "B", heap);
@@ -346,7 +348,7 @@
 {
     measureMembership();
     measureConfiguration();
-    measureChoice();
+    measureEndpointSelection();
     measureRegister();
     measureRequests();
     return 0;
@@ -367,18 +369,18 @@
             marks.add({MarkKind::EndpointLeaving, {"i-00000007"}, {}, {}}, TimeMs{0});
         const std::string prompt
             = fmt::format("{:06}", random.below(300)) + std::string(random.below(6000), 'p');
-        const RoutingQuestion question{configuration.services[0],
-                                       configuration.weights,
-                                       PrefixIndex::blockHashes(prompt),
-                                       predictedTokens(prompt),
-                                       {}};
+        const RoutingQuery question{configuration.services[0],
+                                    configuration.weights,
+                                    PrefixIndex::blockHashes(prompt),
+                                    predictedTokens(prompt),
+                                    {}};
         const std::optional<uint32_t> index
             = table.choose(question, marks, TimeMs{static_cast<int64_t>(i)}, random);
         if (index)
             table.started(*index, question);
         if (index && i % 3 != 0)
             table.finished(table.at(*index).endpoint.name, question.workTokens);
-        OnceQuestion once;
+        OnceQuery once;
         once.action = static_cast<OnceAction>(random.below(3));
         once.key = {{1}, 1, 1 + random.below(400), {}};
         once.request = {{2 + random.below(3)}, random.below(50), {}};
--- a/tools/trace.cpp
+++ b/tools/trace.cpp
@@ -12,8 +12,8 @@
 namespace json = boost::json;
 
 /// Context events this long before a request's first line may explain its course.
-constexpr int64_t BeforeMs = 3000;
-constexpr int64_t AfterMs = 500;
+constexpr int64_t ContextBeforeMs = 3000;
+constexpr int64_t ContextAfterMs = 500;
 
 struct LogLine {
     int64_t timeMs = 0;
@@ -23,7 +23,7 @@
     std::string endpoint;
     std::string digest; ///< The same for all attempts of one request.
     std::string service;
-    std::string rest; ///< All other fields, formatted for output.
+    std::string otherFields; ///< All other fields, formatted for output.
 };
 
 std::string textAt(const json::object &object, const char *name)
@@ -53,7 +53,7 @@
     for (const json::key_value_pair &field : *object) {
         const std::string name(field.key());
         if (name != "time_ms" && name != "instance" && name != "event" && name != "request")
-            out.rest += fmt::format(" {}={}", name, json::serialize(field.value()));
+            out.otherFields += fmt::format(" {}={}", name, json::serialize(field.value()));
     }
     return true;
 }
@@ -79,13 +79,13 @@
     std::vector<std::string> out;
     int64_t first = 0;
     for (const LogLine &line : readLines(lines)) {
-        const bool tells = line.event == "rollout_stage" || line.event == "version_suspected"
+        const bool isRolloutEvent = line.event == "rollout_stage" || line.event == "version_suspected"
             || line.event == "rollout_refused";
-        if (!tells || line.service != service)
+        if (!isRolloutEvent || line.service != service)
             continue;
         first = first == 0 ? line.timeMs : first;
-        out.push_back(
-            fmt::format("{:+6d} ms {} {}{}", line.timeMs - first, line.instance, line.event, line.rest));
+        out.push_back(fmt::format("{:+6d} ms {} {}{}", line.timeMs - first, line.instance, line.event,
+                                  line.otherFields));
     }
     return out;
 }
@@ -113,17 +113,18 @@
 
     std::vector<std::string> out;
     for (const LogLine &line : all) {
-        const bool own = line.request == request;
-        const bool otherTry = !own && !digest.empty() && line.digest == digest;
-        const bool near = line.timeMs >= first - BeforeMs && line.timeMs <= last + AfterMs;
-        const bool context = line.request.empty() && line.digest.empty() && near
+        const bool isOwnEvent = line.request == request;
+        const bool isOtherAttempt = !isOwnEvent && !digest.empty() && line.digest == digest;
+        const bool isInWindow
+            = line.timeMs >= first - ContextBeforeMs && line.timeMs <= last + ContextAfterMs;
+        const bool isContext = line.request.empty() && line.digest.empty() && isInWindow
             && instances.contains(line.instance)
             && (line.endpoint.empty() || endpoints.contains(line.endpoint));
-        if (first == 0 || (!own && !otherTry && !context))
+        if (first == 0 || (!isOwnEvent && !isOtherAttempt && !isContext))
             continue;
-        const char *mark = own ? "*" : otherTry ? "=" : " ";
-        out.push_back(fmt::format("{:+6d} ms {} {} {}{}", line.timeMs - first, mark, line.instance,
-                                  line.event, line.rest));
+        const char *marker = isOwnEvent ? "*" : isOtherAttempt ? "=" : " ";
+        out.push_back(fmt::format("{:+6d} ms {} {} {}{}", line.timeMs - first, marker, line.instance,
+                                  line.event, line.otherFields));
     }
     return out;
 }
