--- a/src/daemon/safeguards.cpp
+++ b/src/daemon/safeguards.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-std::array<bool, static_cast<std::size_t>(Safeguard::Count)> removed = {};
+std::array<bool, static_cast<std::size_t>(Safeguard::Count)> disabledSafeguards = {};
 
 } // namespace
 
 bool isOn(Safeguard safeguard)
 {
-    return !removed[static_cast<std::size_t>(safeguard)];
+    return !disabledSafeguards[static_cast<std::size_t>(safeguard)];
 }
 
 void setSafeguard(Safeguard safeguard, bool on)
 {
-    removed[static_cast<std::size_t>(safeguard)] = !on;
+    disabledSafeguards[static_cast<std::size_t>(safeguard)] = !on;
 }
 
 } // namespace cranberry
