--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -241,7 +241,7 @@
     void abandonSilentEndpoints(TimeMs now);
     bool canContinueElsewhere(Exchange &exchange, TimeMs now);
 
-    // Endpoints that exit while they process requests (endpointends.cpp).
+    // Endpoints that exit while they process requests (endpointcrashes.cpp).
 
     /// Returns true if the request has to wait for the result of a probe of the endpoint.
     bool recordInterruptedAttempt(const Exchange &exchange, TimeMs now);
--- a/src/gateway/peers/peertable.cpp
+++ b/src/gateway/peers/peertable.cpp
@@ -22,9 +22,9 @@
 /// A peer counts as absent after this many missed reports.
 constexpr int64_t MaxMissedReports = 6;
 /// Store readers; each of the other daemons queries one of them. Their number grows with that of the daemons,
-/// so that one reader replies to about a hundred. Standby daemons do not appear in all member lists; the
-/// number of readers then follows from that of the serving daemons, of which there may be only one for
-/// sixteen on standby.
+/// so that one reader replies to about a hundred. Standby daemons do not appear in all member lists, so
+/// while daemons serve, the number of readers follows from that of the serving ones. There may be sixteen
+/// times as many standby daemons as serving ones.
 constexpr size_t MinReaders = 3;
 constexpr size_t ServingPerReader = 6;
 constexpr size_t MembersPerReader = 100;
--- a/src/gateway/store/storesync.h
+++ b/src/gateway/store/storesync.h
@@ -185,7 +185,7 @@
     void takeRollouts(const OpenCall &open);
     void mergeRollouts(const RolloutsKnown &read, TimeMs readAt);
     void takeRolloutsReply(const FreshnessReply &reply, TimeMs sharedAt);
-    DurationMs jitter(DurationMs limit); ///< Returns a random duration below `most`.
+    DurationMs jitter(DurationMs limit); ///< Returns a random duration below `limit`.
     DurationMs maxPeerViewAge() const;
     void checkOwnEntry(TimeMs askedAt);
     uint64_t knownVersion() const; ///< Version of the configuration; 0: none.
--- a/tests/fleetview_test.cpp
+++ b/tests/fleetview_test.cpp
@@ -149,7 +149,7 @@
         const SimulatedDaemon &daemon = daemons_[i];
         return daemon.fleet->entryAddresses({callerAddress(i), daemon.cores}, coresUsed(daemon), now);
     }
-    /// Reports to one daemon only that `ends` engines, from number `first` on, crashed while they ran the
+    /// Reports to one daemon only that `crashes` engines, from number `first` on, crashed while they ran the
     /// request.
     void crashEngines(size_t i, RequestDigest request, int crashes = 3, int first = 0)
     {
