--- a/src/common/fields.h
+++ b/src/common/fields.h
@@ -79,9 +79,9 @@
 template <typename Number>
 std::optional<Number> wholeNumber(const boost::json::value *value)
 {
-    boost::json::error_code notWhole;
-    const Number number = value && value->is_number() ? value->to_number<Number>(notWhole) : 0;
-    return !value || !value->is_number() || notWhole ? std::nullopt : std::optional<Number>(number);
+    boost::json::error_code conversionError;
+    const Number number = value && value->is_number() ? value->to_number<Number>(conversionError) : 0;
+    return !value || !value->is_number() || conversionError ? std::nullopt : std::optional<Number>(number);
 }
 
 /// Parses JSON; the error names the line.
--- a/src/daemon/dispatch.cpp
+++ b/src/daemon/dispatch.cpp
@@ -293,7 +293,7 @@
         Request &request = found->second;
         if (!request.isOpen()) {
             tickClosed(world, request);
-            if (request.listeners.empty() && world.now - request.endedAt > world.answerKeep)
+            if (request.listeners.empty() && world.now - request.endedAt > world.answerRetention)
                 world.requests.erase(found);
             continue;
         }
--- a/src/daemon/io/server.cpp
+++ b/src/daemon/io/server.cpp
@@ -35,7 +35,7 @@
                        1,
                        {0}};
     identity.seeds = settings.peers;
-    identity.entryListTtl = settings.entriesTtl;
+    identity.entryListTtl = settings.entryListTtl;
     identity.answerRetention = settings.answerRetention;
     identity.drainLimit = settings.drainLimit;
     identity.seed = randomNonZero();
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -13,7 +13,7 @@
     reader.required("adminAddress", settings.adminAddress);
     reader.required("peerAddress", settings.peerAddress);
     reader.required("platformAddress", settings.platformAddress);
-    reader.optional("entryKeepMs", settings.entriesTtl);
+    reader.optional("entryKeepMs", settings.entryListTtl);
     reader.optional("answerKeepMs", settings.answerRetention);
     reader.optional("drainLimitMs", settings.drainLimit);
     reader.optional("maxBodyBytes", settings.maxBodyBytes, 1024, 1U << 28);
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -14,7 +14,7 @@
     Address peerAddress;
     Address platformAddress;
     std::vector<Address> peers; ///< Seed list: peer addresses of some of the other daemons.
-    DurationMs entriesTtl{5000}; ///< How long a caller may cache the list of entry daemons.
+    DurationMs entryListTtl{5000}; ///< How long a caller may cache the list of entry daemons.
     DurationMs answerRetention{30000};
     DurationMs drainLimit{120000};
     uint32_t maxBodyBytes = 4U << 20;
--- a/src/daemon/submit.cpp
+++ b/src/daemon/submit.cpp
@@ -135,7 +135,7 @@
 
 void onCallerEntriesRequest(World &world, const CallerEntriesRequest &event)
 {
-    CallerEntriesReply answer{event.caller, entriesFor(world, event.organisation), world.entryKeep, {}};
+    CallerEntriesReply answer{event.caller, entriesFor(world, event.organisation), world.entryListTtl, {}};
     if (event.wantsSession && !world.drain.active) {
         answer.session.registrar = world.self();
         answer.session.session = world.onceRegister.openSession();
--- a/src/daemon/world.h
+++ b/src/daemon/world.h
@@ -46,15 +46,15 @@
 /// clock or starts a thread.
 struct World {
     explicit World(const DaemonOptions &options)
-        : entryKeep(options.entryListTtl), answerKeep(options.answerRetention),
+        : entryListTtl(options.entryListTtl), answerRetention(options.answerRetention),
           drainLimit(options.drainLimit), random(options.seed), members(options.member, options.seeds),
           onceRegister(options.member.incarnation)
     { }
 
     Incarnation self() const { return members.self().incarnation; }
 
-    DurationMs entryKeep;
-    DurationMs answerKeep;
+    DurationMs entryListTtl;
+    DurationMs answerRetention;
     DurationMs drainLimit;
     TimeMs now;
     Random random;
--- a/src/gateway/endpoints/crashsuspects.cpp
+++ b/src/gateway/endpoints/crashsuspects.cpp
@@ -44,8 +44,8 @@
         return false;
     const uint32_t sum
         = std::accumulate(suspect.crashPoints.begin(), suspect.crashPoints.end(), 0U,
-                          [](uint32_t before, const std::pair<const EndpointIncarnation, uint32_t> &crash) {
-                              return before + crash.second;
+                          [](uint32_t before, const std::pair<const EndpointIncarnation, uint32_t> &entry) {
+                              return before + entry.second;
                           });
     if (sum < QuarantineThreshold && !wasQuarantined)
         return false;
--- a/src/gateway/endpoints/endpointlimiter.cpp
+++ b/src/gateway/endpoints/endpointlimiter.cpp
@@ -44,8 +44,8 @@
 
 uint32_t EndpointLimiter::waiting(TimeMs now) const
 {
-    const uint32_t asked = shares_.waiting();
-    return now - reportedWaitingAt_ < GrantTtl ? std::max(asked, reportedWaiting_) : asked;
+    const uint32_t requested = shares_.waiting();
+    return now - reportedWaitingAt_ < GrantTtl ? std::max(requested, reportedWaiting_) : requested;
 }
 
 std::optional<LimitShareRequest> EndpointLimiter::dueShareRequest(const EndpointIncarnation &endpoint,
@@ -88,10 +88,10 @@
         shares_.end();
 }
 
-void EndpointLimiter::onShareRequest(const Address &from, const LimitShareRequest &ask, TimeMs now)
+void EndpointLimiter::onShareRequest(const Address &from, const LimitShareRequest &request, TimeMs now)
 {
     if (isCoordinator())
-        shares_.recordRequest(from, ask, now);
+        shares_.recordRequest(from, request, now);
 }
 
 std::vector<EndpointLimiter::Grant> EndpointLimiter::grantShares(const EndpointIncarnation &endpoint,
--- a/src/gateway/endpoints/endpointlimiter.h
+++ b/src/gateway/endpoints/endpointlimiter.h
@@ -43,7 +43,7 @@
 
     void setCoordinator(bool isSelf, TimeMs now);
     bool isCoordinator() const { return shares_.isOn(); }
-    void onShareRequest(const Address &from, const LimitShareRequest &ask, TimeMs now);
+    void onShareRequest(const Address &from, const LimitShareRequest &request, TimeMs now);
     struct Grant {
         Address to;
         LimitShareGrant grant;
--- a/src/gateway/endpoints/endpointlimits.cpp
+++ b/src/gateway/endpoints/endpointlimits.cpp
@@ -67,18 +67,19 @@
     }
 }
 
-void Gateway::onLimitShareRequest(const LimitShareRequest &ask, const Address &from, TimeMs now)
+void Gateway::onLimitShareRequest(const LimitShareRequest &request, const Address &from, TimeMs now)
 {
-    EndpointLimiter *limiter = fleet_.limiter(ask.endpoint);
+    EndpointLimiter *limiter = fleet_.limiter(request.endpoint);
     if (!limiter)
         return;
     // The requester missed that the limit was lifted.
     if (!limiter->isLimited())
-        actions_.emplace_back(SendToPeer{from, LimitNotice{{limiter->stated.toUpdate(ask.endpoint, now)}}});
+        actions_.emplace_back(
+            SendToPeer{from, LimitNotice{{limiter->stated.toUpdate(request.endpoint, now)}}});
     if (!limiter->isCoordinator())
         return;
-    limiter->onShareRequest(from, ask, now);
-    sendLimitGrants(ask.endpoint, now);
+    limiter->onShareRequest(from, request, now);
+    sendLimitGrants(request.endpoint, now);
 }
 
 void Gateway::onLimitGrant(const LimitShareGrant &grant, TimeMs now)
@@ -154,9 +155,9 @@
         if (endpoint->limiter.isCoordinator())
             sendLimitGrants(endpoint->incarnation(), now);
         else if (coordinator != coordinators_.end()) {
-            if (const std::optional<LimitShareRequest> ask
+            if (const std::optional<LimitShareRequest> request
                 = endpoint->limiter.dueShareRequest(endpoint->incarnation(), now))
-                actions_.emplace_back(SendToPeer{coordinator->second, *ask});
+                actions_.emplace_back(SendToPeer{coordinator->second, *request});
         }
     }
 }
--- a/src/gateway/endpoints/limitshares.cpp
+++ b/src/gateway/endpoints/limitshares.cpp
@@ -30,9 +30,9 @@
     demands_.clear();
 }
 
-void LimitShares::recordRequest(const Address &from, const LimitShareRequest &ask, TimeMs now)
+void LimitShares::recordRequest(const Address &from, const LimitShareRequest &request, TimeMs now)
 {
-    updateDemand({from, ask.number, ask.waiting, now, now, 0, false});
+    updateDemand({from, request.number, request.waiting, now, now, 0, false});
 }
 
 void LimitShares::updateDemand(const Demand &demand)
--- a/src/gateway/endpoints/limitshares.h
+++ b/src/gateway/endpoints/limitshares.h
@@ -17,7 +17,7 @@
     void end();
     bool isOn() const { return isOn_; }
 
-    void recordRequest(const Address &from, const LimitShareRequest &ask, TimeMs now);
+    void recordRequest(const Address &from, const LimitShareRequest &request, TimeMs now);
     /// What one daemon may send; `requests` is 0 in a reply that grants nothing now.
     struct Share {
         Address to;
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -71,7 +71,7 @@
     void onQuotaTransfer(const QuotaTransfer &transfer, TimeMs now);
     void onCrashNotice(const CrashNotice &notice, TimeMs now);
     void onLimitNotice(const LimitNotice &notice, TimeMs now);
-    void onLimitShareRequest(const LimitShareRequest &ask, const Address &from, TimeMs now);
+    void onLimitShareRequest(const LimitShareRequest &request, const Address &from, TimeMs now);
     void onLimitGrant(const LimitShareGrant &grant, TimeMs now);
     void onQuarantine(const std::vector<QuarantinedRequest> &list, QuarantineSource source, TimeMs now);
     /// Returns the quarantined requests, for the store and for daemons that query them.
@@ -88,7 +88,7 @@
     bool isIdle() const { return exchanges_.empty(); }
     /// Returns the report for the other daemons. The caller fills in the wall-clock time, the CPU usage, and
     /// whether it can read the store.
-    PeerReport report(bool whole, TimeMs now);
+    PeerReport report(bool isFull, TimeMs now);
     /// Returns the demand on each service's engines, summed over all daemons whose reports are received.
     std::map<ServiceName, ServiceDemand> demand(TimeMs now) const;
     struct EntryAnswer {
@@ -212,7 +212,7 @@
     void recordOutcome(const Exchange &exchange, const FleetEndpoint &endpoint, bool bad);
     bool isOnTrial(const FleetEndpoint &endpoint) const;
     uint32_t trialGroupOf(const FleetEndpoint &endpoint) const; ///< Index in the counts of a trial.
-    void recordStep(const Exchange &exchange, BaselineTimes::Step step, double time, double least);
+    void recordStep(const Exchange &exchange, BaselineTimes::Step step, double time, double minTime);
     double expectedFirstEventMs(const Exchange &exchange, const PlacementChoice &choice) const;
     static double firstEventRatio(const Exchange &exchange, TimeMs now);
     bool isMoving(const ServiceName &service) const;
@@ -317,7 +317,7 @@
     Quarantine quarantine_;
     RolloutView rollouts_;
     TrialCounts trialCounts_;
-    BaselineTimes usualTimes_;
+    BaselineTimes baselineTimes_;
     std::map<ServiceName, Trial> trials_;
     TimeMs nextTrialCheckAt_; ///< Next check of the trials.
     TimeMs nextCoordinatorCheckAt_; ///< Next search for the coordinators of limited endpoints.
--- a/src/gateway/gatewayevents.h
+++ b/src/gateway/gatewayevents.h
@@ -413,7 +413,7 @@
     DurationMs timeout;
     /// Connections of attempts failed there. The probe then uses a new connection: only that distinguishes an
     /// endpoint that exited from a broken keep-alive connection.
-    bool afterBreak = false;
+    bool afterConnectionFailure = false;
 };
 
 /// Sends a request to an endpoint.
--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -14,7 +14,7 @@
     reader.required("entryAddress", settings.entryAddress);
     reader.required("peerAddress", settings.peerAddress);
     reader.required("storeAddress", settings.storeAddress);
-    reader.optional("dutyAddress", settings.dutyAddress);
+    reader.optional("dutyAddress", settings.leaderCallAddress);
     reader.optional("metricsPort", settings.metricsPort, 0, 65535);
     reader.optional("firstStart", settings.firstStart);
     reader.optional("revokeBoundMs", settings.revokeBound);
@@ -34,7 +34,7 @@
     settings.repeatWindow.count = static_cast<int64_t>(seconds * 1000);
     reader.optional("cores", settings.cores, 0.001, 4096);
     reader.optional("drainMs", settings.drainTime);
-    reader.optional("entryKeepMs", settings.entryKeep);
+    reader.optional("entryKeepMs", settings.entryListTtl);
     reader.optional("repeatRatio", settings.repeatRatio, 0, 10);
     reader.optional("quotaOver", settings.quotaOver, 0, 10);
     reader.optional("quotaSlack", settings.quotaSlack, 0, 1e12);
--- a/src/gateway/gatewaysettings.h
+++ b/src/gateway/gatewaysettings.h
@@ -14,7 +14,7 @@
     Address entryAddress; ///< Listens for callers' queries for the addresses to connect to.
     Address peerAddress; ///< Receives datagrams of the other daemons.
     Address storeAddress;
-    Address dutyAddress; ///< Address of the receiver of usage reports and orders.
+    Address leaderCallAddress; ///< Address of the receiver of usage reports and orders.
     uint32_t metricsPort = 0; ///< 0: metrics are disabled.
 
     bool firstStart = false; ///< The whole system starts for the first time.
@@ -26,7 +26,7 @@
     DurationMs usageDue{10000}; ///< The usage report of a window is due this long after its end.
     /// How long callers may cache the entry answer. Some cache it three times as long, and the last of them
     /// must have left a stopping daemon well before its grace time ends.
-    DurationMs entryKeep{1000};
+    DurationMs entryListTtl{1000};
     double cores = 1; ///< CPU cores of the instance that this daemon may use.
     DurationMs drainTime{2000}; ///< Minimum time for which a leaving endpoint continues to serve.
     double repeatRatio = 0.2; ///< Retries per request of a service, over all daemons.
--- a/src/gateway/io/gatewaycallers.cpp
+++ b/src/gateway/io/gatewaycallers.cpp
@@ -58,7 +58,7 @@
         return exchange->respond(503, {}, "");
     exchange->respond(
         200, {{"Content-Type", "application/json"}},
-        platform::encodeEntryResponse(addresses, std::max<int64_t>(settings.entryKeep.count / 1000, 1)));
+        platform::encodeEntryResponse(addresses, std::max<int64_t>(settings.entryListTtl.count / 1000, 1)));
 }
 
 void GatewayServer::State::onReadinessRequest(const HttpExchangePtr &exchange)
@@ -202,16 +202,16 @@
     HttpCall call;
     call.address = action.address;
     call.request = platform::encodeProbe();
-    call.freshConnection = action.afterBreak;
-    callEndpoint(
-        std::move(call), action.timeout,
-        [this, endpoint = action.endpoint, afterBreak = action.afterBreak](const HttpResponse &reply) {
-            EngineProbed probed = platform::decodeProbe(endpoint, completeStatus(reply), reply.body);
-            probed.afterConnectionFailure = afterBreak;
-            if (reply.failure == HttpFailure::Refused)
-                probed.process = EndpointProcess::Exited;
-            gateway.onEngineProbed(probed, steadyNow());
-        });
+    call.freshConnection = action.afterConnectionFailure;
+    callEndpoint(std::move(call), action.timeout,
+                 [this, endpoint = action.endpoint,
+                  afterConnectionFailure = action.afterConnectionFailure](const HttpResponse &reply) {
+                     EngineProbed probed = platform::decodeProbe(endpoint, completeStatus(reply), reply.body);
+                     probed.afterConnectionFailure = afterConnectionFailure;
+                     if (reply.failure == HttpFailure::Refused)
+                         probed.process = EndpointProcess::Exited;
+                     gateway.onEngineProbed(probed, steadyNow());
+                 });
 }
 
 } // namespace cranberry
--- a/src/gateway/io/gatewaypeers.cpp
+++ b/src/gateway/io/gatewaypeers.cpp
@@ -37,9 +37,9 @@
     call.progressTimeout = order.timeout;
     call.totalTimeout = order.timeout;
     store.fetch(std::move(call), [this, order, onReply = std::move(onReply)](const HttpResponse &response) {
-        const bool whole = response.failure == HttpFailure::None;
+        const bool isComplete = response.failure == HttpFailure::None;
         StoreReply reply
-            = storeCodec.decode(order, whole ? response.status : 0, response.headers, response.body);
+            = storeCodec.decode(order, isComplete ? response.status : 0, response.headers, response.body);
         sync.checkEra(reply, steadyNow());
         onReply(reply);
     });
@@ -58,42 +58,42 @@
 
 // ---- Leader tasks ----
 
-void GatewayServer::State::callLeaderTask(const LeaderCall &order,
+void GatewayServer::State::sendLeaderCall(const LeaderCall &order,
                                           std::function<void(LeaderCallOutcome)> onReply)
 {
     HttpCall call;
-    call.address = settings.dutyAddress;
-    call.request = platform::encodeLeaderTask(order, settings.instance);
+    call.address = settings.leaderCallAddress;
+    call.request = platform::encodeLeaderCall(order, settings.instance);
     call.connectTimeout = std::min(ConnectTimeout, order.timeout);
     call.progressTimeout = order.timeout;
     call.totalTimeout = order.timeout;
     call.resetOnAbort = true;
-    duties.fetch(std::move(call), [onReply = std::move(onReply)](const HttpResponse &response) {
+    leaderCallClient.fetch(std::move(call), [onReply = std::move(onReply)](const HttpResponse &response) {
         onReply(
-            platform::decodeLeaderTaskStatus(response.failure == HttpFailure::None ? response.status : 0));
+            platform::decodeLeaderCallStatus(response.failure == HttpFailure::None ? response.status : 0));
     });
 }
 
 void GatewayServer::State::runLeaderTasks()
 {
-    if (settings.dutyAddress.port == 0)
+    if (settings.leaderCallAddress.port == 0)
         return;
     const TimeMs now = steadyNow();
     const Leadership leadership = sync.leadership(now);
-    usageDuty.tick(leadership, gateway.usage(), gateway.peers(), gateway.configuration(), now);
-    sync.setRecordsComplete(usageDuty.recordsComplete());
+    usageReporter.tick(leadership, gateway.usage(), gateway.peers(), gateway.configuration(), now);
+    sync.setRecordsComplete(usageReporter.recordsComplete());
     engineSizing.tick(leadership, gateway.fleet(), gateway.rollouts(), gateway.demand(now),
                       gateway.configuration(), now);
     runRollouts(leadership, now);
-    for (const StoreCall &order : usageDuty.takeStoreCalls())
-        callStore(order, [this](const StoreReply &reply) { usageDuty.onStoreReply(reply, steadyNow()); });
-    for (const LeaderCall &order : usageDuty.takeLeaderCalls()) {
-        callLeaderTask(order, [this, id = order.id](LeaderCallOutcome outcome) {
-            usageDuty.onLeaderReply(id, outcome, steadyNow());
+    for (const StoreCall &order : usageReporter.takeStoreCalls())
+        callStore(order, [this](const StoreReply &reply) { usageReporter.onStoreReply(reply, steadyNow()); });
+    for (const LeaderCall &order : usageReporter.takeLeaderCalls()) {
+        sendLeaderCall(order, [this, id = order.id](LeaderCallOutcome outcome) {
+            usageReporter.onLeaderReply(id, outcome, steadyNow());
         });
     }
     for (const LeaderCall &order : engineSizing.takeCalls()) {
-        callLeaderTask(order, [this, id = order.id](LeaderCallOutcome outcome) {
+        sendLeaderCall(order, [this, id = order.id](LeaderCallOutcome outcome) {
             engineSizing.onReply(id, outcome, steadyNow());
         });
     }
@@ -102,9 +102,10 @@
 void GatewayServer::State::runRollouts(const Leadership &leadership, TimeMs now)
 {
     // Only the leader needs the observations, and collecting them scans all endpoints.
-    const std::map<ServiceName, RolloutObservations> facts
+    const std::map<ServiceName, RolloutObservations> observations
         = leadership.held ? gateway.observeRollouts(now) : std::map<ServiceName, RolloutObservations>();
-    rolloutController.tick(leadership, sync.rollouts(now), facts, now.count + gateway.usage().offset(), now);
+    rolloutController.tick(leadership, sync.rollouts(now), observations, now.count + gateway.usage().offset(),
+                           now);
     for (const StoreCall &order : rolloutController.takeStoreCalls()) {
         callStore(order, [this](const StoreReply &reply) {
             rolloutController.onStoreReply(reply, steadyNow());
@@ -167,8 +168,8 @@
     } else if (const QuotaRequest *ask = std::get_if<QuotaRequest>(&*read)) {
         gateway.onQuotaRequest(*ask, peerAddress());
         runActions();
-    } else if (const QuotaTransfer *gift = std::get_if<QuotaTransfer>(&*read)) {
-        gateway.onQuotaTransfer(*gift, now);
+    } else if (const QuotaTransfer *transfer = std::get_if<QuotaTransfer>(&*read)) {
+        gateway.onQuotaTransfer(*transfer, now);
         runActions();
     } else if (const CrashNotice *notice = std::get_if<CrashNotice>(&*read)) {
         gateway.onCrashNotice(*notice, now);
@@ -176,8 +177,8 @@
     } else if (const LimitNotice *limits = std::get_if<LimitNotice>(&*read)) {
         gateway.onLimitNotice(*limits, now);
         runActions();
-    } else if (const LimitShareRequest *limitAsk = std::get_if<LimitShareRequest>(&*read)) {
-        gateway.onLimitShareRequest(*limitAsk, peerAddress(), now);
+    } else if (const LimitShareRequest *shareRequest = std::get_if<LimitShareRequest>(&*read)) {
+        gateway.onLimitShareRequest(*shareRequest, peerAddress(), now);
         runActions();
     } else if (const LimitShareGrant *grant = std::get_if<LimitShareGrant>(&*read)) {
         gateway.onLimitGrant(*grant, now);
--- a/src/gateway/io/gatewayserver.cpp
+++ b/src/gateway/io/gatewayserver.cpp
@@ -67,8 +67,8 @@
       log(settings.instance.value, wallNowMs),
       gateway(coreSettings(settings, incarnation, randomSeed()), log),
       sync(syncSettings(settings, incarnation, randomSeed()), log), fleet(sync, gateway),
-      usageDuty(settings.usageDue, log), engineSizing(settings.firstStart, log), rolloutController(log),
-      storeCodec(log), endpoints(io), store(io), duties(io)
+      usageReporter(settings.usageDue, log), engineSizing(settings.firstStart, log), rolloutController(log),
+      storeCodec(log), endpoints(io), store(io), leaderCallClient(io)
 {
     rolloutController.setBounds({settings.exposeShare, settings.exposeSlack});
 }
@@ -128,10 +128,10 @@
 
 // Applies changed bounds and tolerances at once. Addresses and the identity belong to this process and change
 // only on a restart. An unreadable file changes nothing.
-void GatewayServer::State::reloadIfChanged(bool asked)
+void GatewayServer::State::reloadIfChanged(bool wasRequested)
 {
     const std::optional<std::string> text = readFile(settingsFile);
-    if (!text || (*text == settingsText && !asked))
+    if (!text || (*text == settingsText && !wasRequested))
         return;
     settingsText = *text;
     boost::leaf::try_handle_all(
@@ -139,7 +139,7 @@
             BOOST_LEAF_ASSIGN(const GatewayDaemonSettings changed, parseGatewaySettings(*text));
             gateway.applyBounds(coreSettings(changed, incarnation, 0));
             rolloutController.setBounds({changed.exposeShare, changed.exposeSlack});
-            log.write(LogPriority::State, "reloaded", {{"asked", asked}});
+            log.write(LogPriority::State, "reloaded", {{"asked", wasRequested}});
             return {};
         },
         [&](const FieldError &error) {
--- a/src/gateway/io/gatewaystate.h
+++ b/src/gateway/io/gatewaystate.h
@@ -63,7 +63,7 @@
     // Tasks of the leader.
     void runLeaderTasks();
     void runRollouts(const Leadership &leadership, TimeMs now);
-    void callLeaderTask(const LeaderCall &order, std::function<void(LeaderCallOutcome)> onReply);
+    void sendLeaderCall(const LeaderCall &order, std::function<void(LeaderCallOutcome)> onReply);
 
     // The other daemons.
     void openPeerSocket();
@@ -78,7 +78,7 @@
 
     void tick();
     void waitForSignal();
-    void reloadIfChanged(bool asked);
+    void reloadIfChanged(bool wasRequested);
     void beginShutdown();
     void checkStopped();
 
@@ -91,13 +91,13 @@
     Gateway gateway;
     StoreSync sync;
     FleetView fleet;
-    UsageReporter usageDuty;
+    UsageReporter usageReporter;
     EngineSizing engineSizing;
     RolloutController rolloutController;
     platform::StoreCodec storeCodec;
     HttpClient endpoints;
     HttpClient store;
-    HttpClient duties;
+    HttpClient leaderCallClient;
     LatencyHistograms latency;
     std::unique_ptr<HttpServer> callerServer;
     std::vector<std::unique_ptr<HttpServer>> otherServers;
--- a/src/gateway/limits/quotas.cpp
+++ b/src/gateway/limits/quotas.cpp
@@ -79,14 +79,14 @@
     balances_[organisation].units += units;
 }
 
-double Quotas::give(const OrganisationName &organisation, double asked)
+double Quotas::give(const OrganisationName &organisation, double requested)
 {
     const auto found = balances_.find(organisation);
     if (found == balances_.end())
         return 0;
     Balance &balance = found->second;
     const double given
-        = std::clamp(balance.units - ReservedFraction * balance.share, 0.0, std::max(asked, 0.0));
+        = std::clamp(balance.units - ReservedFraction * balance.share, 0.0, std::max(requested, 0.0));
     balance.units -= given;
     return given;
 }
--- a/src/gateway/limits/quotas.h
+++ b/src/gateway/limits/quotas.h
@@ -52,7 +52,7 @@
     /// they are not worth a message.
     double surplus(const OrganisationName &organisation);
     /// Takes up to `asked` units from the balance for another daemon, as far as they can be spared.
-    double give(const OrganisationName &organisation, double asked);
+    double give(const OrganisationName &organisation, double requested);
     void receive(const OrganisationName &organisation, double units);
     /// Adds deposited units up to this daemon's bound; the rest is lost.
     void receiveDeposit(const OrganisationName &organisation, double units);
--- a/src/gateway/requests/attempts.cpp
+++ b/src/gateway/requests/attempts.cpp
@@ -311,8 +311,8 @@
 {
     if (!peers_.isServing())
         return 0;
-    const size_t sharers = peers_.servingCount(now);
-    return sharers == 1 ? 1 : SharedSlackFraction / static_cast<double>(sharers);
+    const size_t servingDaemons = peers_.servingCount(now);
+    return servingDaemons == 1 ? 1 : SharedSlackFraction / static_cast<double>(servingDaemons);
 }
 
 // Sends the request again if enough time, retry budget and an endpoint are available.
--- a/src/gateway/requests/migrations.cpp
+++ b/src/gateway/requests/migrations.cpp
@@ -85,11 +85,11 @@
 // Endpoints of other versions than the target of a roll-out stop when the roll-out is completed.
 std::optional<TimeMs> Gateway::evacuationDeadline(const FleetEndpoint &endpoint, TimeMs now) const
 {
-    const std::optional<int64_t> emptyBy
-        = rollouts_.emptyByWallMs(endpoint.entry.service, endpoint.entry.version);
-    if (endpoint.leavesAt || !emptyBy || wallTimeAt(now) < *emptyBy - FinalMigrationTime.count)
+    const std::optional<int64_t> deadlineWallMs
+        = rollouts_.evacuationDeadlineWallMs(endpoint.entry.service, endpoint.entry.version);
+    if (endpoint.leavesAt || !deadlineWallMs || wallTimeAt(now) < *deadlineWallMs - FinalMigrationTime.count)
         return endpoint.leavesAt;
-    return TimeMs{*emptyBy - usage_.offset()};
+    return TimeMs{*deadlineWallMs - usage_.offset()};
 }
 
 bool Gateway::shouldMigrate(const Exchange &exchange, TimeMs now) const
--- a/src/gateway/rollout/rolloutcontroller.cpp
+++ b/src/gateway/rollout/rolloutcontroller.cpp
@@ -42,7 +42,7 @@
 } // namespace
 
 void RolloutController::tick(const Leadership &leadership, const StoreSync::Rollouts &rollouts,
-                             const std::map<ServiceName, RolloutObservations> &facts, int64_t wallMs,
+                             const std::map<ServiceName, RolloutObservations> &observations, int64_t wallMs,
                              TimeMs now)
 {
     if (!leadership.held) {
@@ -53,7 +53,7 @@
     std::map<ServiceName, const RolloutOrder *> orders;
     for (const RolloutOrder &order : rollouts.known.orders)
         orders[order.service] = &order;
-    for (const std::pair<const ServiceName, RolloutObservations> &each : facts) {
+    for (const std::pair<const ServiceName, RolloutObservations> &each : observations) {
         RolloutProgress &service = services_[each.first];
         if (now < service.nextAt)
             continue;
@@ -96,7 +96,7 @@
 }
 
 RolloutRecord RolloutController::createRecord(const RolloutOrder &order, const RolloutRecord *before,
-                                              const RolloutObservations &facts, uint64_t era,
+                                              const RolloutObservations &observations, uint64_t era,
                                               int64_t wallMs) const
 {
     RolloutRecord out;
@@ -106,8 +106,8 @@
     out.order = order.revision;
     out.era = era;
     out.beganWallMs = out.stageWallMs = wallMs;
-    out.share = trialShare(order, facts);
-    out.loadRequests = loadRequests(order, facts);
+    out.share = trialShare(order, observations);
+    out.loadRequests = loadRequests(order, observations);
     out.why = "ordered";
     if (before) {
         out.barred = before->barred;
@@ -118,9 +118,9 @@
     return out;
 }
 
-double RolloutController::trialShare(const RolloutOrder &order, const RolloutObservations &facts) const
+double RolloutController::trialShare(const RolloutOrder &order, const RolloutObservations &observations) const
 {
-    const double requests = facts.requestsPerSecond * static_cast<double>(order.duration.count) / 1000;
+    const double requests = observations.requestsPerSecond * static_cast<double>(order.duration.count) / 1000;
     if (requests < 1)
         return UnknownRateShareFactor * bounds_.exposeShare;
     return std::min(TrialShareFactor * bounds_.exposeShare
@@ -128,12 +128,13 @@
                     MaxTrialShare);
 }
 
-uint32_t RolloutController::loadRequests(const RolloutOrder &order, const RolloutObservations &facts) const
+uint32_t RolloutController::loadRequests(const RolloutOrder &order,
+                                         const RolloutObservations &observations) const
 {
-    const double requests = facts.requestsPerSecond * static_cast<double>(order.duration.count) / 1000;
+    const double requests = observations.requestsPerSecond * static_cast<double>(order.duration.count) / 1000;
     const double bound = bounds_.exposeShare * requests + bounds_.exposeSlack;
     return static_cast<uint32_t>(
-        std::min(LoadRequestsPerSlot * facts.slotsPerTarget, LoadBoundsFactor * bound));
+        std::min(LoadRequestsPerSlot * observations.slotsPerTarget, LoadBoundsFactor * bound));
 }
 
 DurationMs RolloutController::timeToMove(const RolloutRecord &record)
@@ -141,22 +142,24 @@
     return MovingTime + EmptyingTime + (record.loadRequests > 0 ? LoadingTime : DurationMs{0});
 }
 
-bool RolloutController::mayMove(const RolloutRecord &record, const RolloutObservations &facts,
+bool RolloutController::mayMove(const RolloutRecord &record, const RolloutObservations &observations,
                                 int64_t wallMs) const
 {
     const int64_t movesAt = record.beganWallMs + (record.duration - timeToMove(record)).count;
     if (wallMs < std::max(movesAt, record.stageWallMs + MinTrialTime.count))
         return false;
-    if (facts.targetEndpoints < MinEndpointRatio * facts.otherEndpoints)
+    if (observations.targetEndpoints < MinEndpointRatio * observations.otherEndpoints)
         return false;
     // With so few requests a bad version stays within the bounds even if it gets all of them.
-    const double others = static_cast<double>(facts.figures.othersAnswers + facts.figures.answers);
-    return facts.isProven
+    const double others
+        = static_cast<double>(observations.figures.othersAnswers + observations.figures.answers);
+    return observations.isProven
         || (others < bounds_.exposeSlack && wallMs > record.beganWallMs + record.duration.count);
 }
 
-RolloutRecord RolloutController::nextRecord(const RolloutRecord &record, const RolloutObservations &facts,
-                                            RolloutProgress &service, int64_t wallMs, TimeMs now) const
+RolloutRecord RolloutController::nextRecord(const RolloutRecord &record,
+                                            const RolloutObservations &observations, RolloutProgress &service,
+                                            int64_t wallMs, TimeMs now) const
 {
     if (isDecided(record.stage))
         return record;
@@ -168,33 +171,33 @@
         if (stage == RolloutStage::RolledBack)
             out.barred.insert(record.target);
         if (stage == RolloutStage::Completed)
-            out.barred.insert(facts.otherVersions.begin(), facts.otherVersions.end());
+            out.barred.insert(observations.otherVersions.begin(), observations.otherVersions.end());
         return out;
     };
     const int64_t inStage = wallMs - record.stageWallMs;
     const int64_t endsAt = record.beganWallMs + record.duration.count;
-    if (facts.isBad) {
-        const VersionEvaluator::Figures &seen = facts.figures;
+    if (observations.isBad) {
+        const VersionEvaluator::Figures &seen = observations.figures;
         return to(RolloutStage::RolledBack,
                   fmt::format("{} of {} answers bad on {}, {} of {} elsewhere", seen.bad, seen.answers,
                               seen.route.empty() ? "all routes" : seen.route, seen.othersBad,
                               seen.othersAnswers));
     }
-    if (facts.runningElsewhere > 0)
+    if (observations.runningElsewhere > 0)
         service.emptySince = {};
     else if (service.emptySince.count == 0)
         service.emptySince = now;
     switch (record.stage) {
     case RolloutStage::Starting:
-        if (facts.targetEndpoints > 0)
+        if (observations.targetEndpoints > 0)
             return to(RolloutStage::Trial, "the target takes requests");
         if (wallMs > endsAt)
             return to(RolloutStage::RolledBack, "no endpoint of the target came");
         return record;
     case RolloutStage::Trial:
-        if (mayMove(record, facts, wallMs) && record.loadRequests > 0)
+        if (mayMove(record, observations, wallMs) && record.loadRequests > 0)
             return to(RolloutStage::Loading, "as good as the others so far");
-        if (mayMove(record, facts, wallMs))
+        if (mayMove(record, observations, wallMs))
             return to(RolloutStage::Moving, "as good as the others");
         if (wallMs > record.beganWallMs + record.duration.count * MaxDurationFactor)
             return to(RolloutStage::RolledBack, "too few answers or endpoints, or not as good");
@@ -206,13 +209,13 @@
                                           : record;
     default: {
         const bool isEmpty = service.emptySince.count != 0 && now - service.emptySince > EmptyConfirmTime
-            && inStage > (StagePropagationTime + EmptyConfirmTime).count && facts.targetEndpoints > 0;
+            && inStage > (StagePropagationTime + EmptyConfirmTime).count && observations.targetEndpoints > 0;
         return isEmpty ? to(RolloutStage::Completed, "the others have ended what they had") : record;
     }
     }
 }
 
-void RolloutController::write(const RolloutRecord &record, const RolloutObservations &facts,
+void RolloutController::write(const RolloutRecord &record, const RolloutObservations &observations,
                               uint64_t storedRevision, const Leadership &leadership, RolloutProgress &service,
                               TimeMs now)
 {
@@ -222,10 +225,10 @@
                                {"stage", toText(record.stage)},
                                {"why", record.why},
                                {"share", record.share},
-                               {"target_endpoints", facts.targetEndpoints},
-                               {"other_endpoints", facts.otherEndpoints},
-                               {"running_elsewhere", facts.runningElsewhere}};
-    addFigures(facts.figures, fields);
+                               {"target_endpoints", observations.targetEndpoints},
+                               {"other_endpoints", observations.otherEndpoints},
+                               {"running_elsewhere", observations.runningElsewhere}};
+    addFigures(observations.figures, fields);
     log_.write(LogPriority::State, "rollout_stage", std::move(fields));
     StoreCall call;
     call.id = nextCall_++;
--- a/src/gateway/rollout/rolloutcontroller.h
+++ b/src/gateway/rollout/rolloutcontroller.h
@@ -45,7 +45,7 @@
 
     /// `facts` has the observations for each service with an order or an undecided record.
     void tick(const Leadership &leadership, const StoreSync::Rollouts &rollouts,
-              const std::map<ServiceName, RolloutObservations> &facts, int64_t wallMs, TimeMs now);
+              const std::map<ServiceName, RolloutObservations> &observations, int64_t wallMs, TimeMs now);
     void onStoreReply(const StoreReply &reply, TimeMs now);
 
     std::vector<StoreCall> takeStoreCalls() { return std::exchange(storeCalls_, {}); }
@@ -63,15 +63,15 @@
         uint64_t refusedOrder = 0; ///< Revision of the last order that was logged as refused.
     };
     RolloutRecord createRecord(const RolloutOrder &order, const RolloutRecord *before,
-                               const RolloutObservations &facts, uint64_t era, int64_t wallMs) const;
-    RolloutRecord nextRecord(const RolloutRecord &record, const RolloutObservations &facts,
+                               const RolloutObservations &observations, uint64_t era, int64_t wallMs) const;
+    RolloutRecord nextRecord(const RolloutRecord &record, const RolloutObservations &observations,
                              RolloutProgress &service, int64_t wallMs, TimeMs now) const;
-    double trialShare(const RolloutOrder &order, const RolloutObservations &facts) const;
-    uint32_t loadRequests(const RolloutOrder &order, const RolloutObservations &facts) const;
+    double trialShare(const RolloutOrder &order, const RolloutObservations &observations) const;
+    uint32_t loadRequests(const RolloutOrder &order, const RolloutObservations &observations) const;
     static DurationMs timeToMove(const RolloutRecord &record);
-    bool mayMove(const RolloutRecord &record, const RolloutObservations &facts, int64_t wallMs) const;
+    bool mayMove(const RolloutRecord &record, const RolloutObservations &observations, int64_t wallMs) const;
     void refuse(const RolloutOrder &order, RolloutProgress &service);
-    void write(const RolloutRecord &record, const RolloutObservations &facts, uint64_t storedRevision,
+    void write(const RolloutRecord &record, const RolloutObservations &observations, uint64_t storedRevision,
                const Leadership &leadership, RolloutProgress &service, TimeMs now);
 
     DecisionLog &log_;
--- a/src/gateway/rollout/rolloutview.cpp
+++ b/src/gateway/rollout/rolloutview.cpp
@@ -129,8 +129,8 @@
     return out;
 }
 
-std::optional<int64_t> RolloutView::emptyByWallMs(const ServiceName &service,
-                                                  const SoftwareVersion &version) const
+std::optional<int64_t> RolloutView::evacuationDeadlineWallMs(const ServiceName &service,
+                                                             const SoftwareVersion &version) const
 {
     const RolloutRecord *record = recordOf(service);
     if (!record || record->stage != RolloutStage::Emptying || record->target == version)
--- a/src/gateway/rollout/rolloutview.h
+++ b/src/gateway/rollout/rolloutview.h
@@ -39,7 +39,8 @@
     std::map<ServiceName, std::set<SoftwareVersion>> outOfUse() const;
     /// Returns when endpoints of versions other than the target must have finished their requests; nothing if
     /// they continue.
-    std::optional<int64_t> emptyByWallMs(const ServiceName &service, const SoftwareVersion &version) const;
+    std::optional<int64_t> evacuationDeadlineWallMs(const ServiceName &service,
+                                                    const SoftwareVersion &version) const;
     const RolloutsKnown &known() const { return known_; }
 
 private:
--- a/src/gateway/rollout/trialcounts.cpp
+++ b/src/gateway/rollout/trialcounts.cpp
@@ -18,7 +18,7 @@
 /// slow; queueing of a busy service stays below it.
 constexpr double SlowFactor = 3;
 constexpr uint32_t MinSamples = 10; ///< Samples before a time can be classified as slow.
-constexpr double NewestWeight = 0.02; ///< Weight of the newest sample: a moving mean over about fifty.
+constexpr double MinSampleWeight = 0.02; ///< Weight of the newest sample: a moving mean over about fifty.
 
 } // namespace
 
@@ -43,8 +43,8 @@
     if (found == trials_.end())
         return;
     Trial &trial = found->second;
-    const bool hasRoom = trial.counts.size() < MaxRoutes * (TrialCount::Groups + 1);
-    const std::string &name = hasRoom || trial.counts.contains({route, group}) ? route : OtherRoutes;
+    const bool hasCapacity = trial.counts.size() < MaxRoutes * (TrialCount::Groups + 1);
+    const std::string &name = hasCapacity || trial.counts.contains({route, group}) ? route : OtherRoutes;
     TrialCount &count = trial.counts[{name, group}];
     count.service = service;
     count.target = trial.target;
@@ -83,16 +83,16 @@
         return;
     Mean &mean = means_[{route, step}];
     ++mean.count;
-    const double weight = std::max(NewestWeight, 1.0 / mean.count);
+    const double weight = std::max(MinSampleWeight, 1.0 / mean.count);
     mean.logarithm += weight * (std::log(time) - mean.logarithm);
 }
 
-bool BaselineTimes::isSlow(const std::string &route, Step step, double time, double least) const
+bool BaselineTimes::isSlow(const std::string &route, Step step, double time, double minTime) const
 {
     const auto found = means_.find({route, step});
     if (found == means_.end() || found->second.count < MinSamples)
         return false;
-    return time > SlowFactor * std::max(std::exp(found->second.logarithm), least);
+    return time > SlowFactor * std::max(std::exp(found->second.logarithm), minTime);
 }
 
 } // namespace cranberry
--- a/src/gateway/rollout/trials.cpp
+++ b/src/gateway/rollout/trials.cpp
@@ -180,7 +180,7 @@
     return isOnTrial(endpoint) ? trialGroup(endpoint.entry.id.value) : uint32_t{TrialCount::Others};
 }
 
-void Gateway::recordStep(const Exchange &exchange, BaselineTimes::Step step, double time, double least)
+void Gateway::recordStep(const Exchange &exchange, BaselineTimes::Step step, double time, double minTime)
 {
     const FleetEndpoint *endpoint = fleet_.find(exchange.sentTo);
     if (!endpoint)
@@ -190,9 +190,9 @@
     if (isLoad && step == BaselineTimes::Step::EventInterval)
         return;
     const bool onTrial = isOnTrial(*endpoint);
-    const bool isSlow = usualTimes_.isSlow(route, step, time, least);
+    const bool isSlow = baselineTimes_.isSlow(route, step, time, minTime);
     if (!onTrial)
-        usualTimes_.record(route, step, time);
+        baselineTimes_.record(route, step, time);
     const bool isInconclusive
         = isLoad || (step != BaselineTimes::Step::FullResponse && onTrial && isMoving(exchange.service));
     recordOutcome(exchange, *endpoint, isSlow && !isInconclusive);
@@ -242,9 +242,9 @@
 {
     if (exchange.attemptEvents < MinIntervalEvents || std::exchange(exchange.eventIntervalIsEvaluated, true))
         return;
-    const double pace = static_cast<double>((now - exchange.firstEventAt).count)
+    const double interval = static_cast<double>((now - exchange.firstEventAt).count)
         / static_cast<double>(exchange.attemptEvents - 1);
-    recordStep(exchange, BaselineTimes::Step::EventInterval, pace, MinEventIntervalMs);
+    recordStep(exchange, BaselineTimes::Step::EventInterval, interval, MinEventIntervalMs);
 }
 
 void Gateway::recordFullResponse(Exchange &exchange, TimeMs now)
@@ -276,10 +276,10 @@
             continue;
         const bool isStream = exchange.route->kind == RouteKind::Streaming;
         const bool isSlow = isStream
-            ? usualTimes_.isSlow(exchange.route->name, BaselineTimes::Step::FirstEvent,
-                                 firstEventRatio(exchange, now), MinFirstEventRatio)
-            : usualTimes_.isSlow(exchange.route->name, BaselineTimes::Step::FullResponse,
-                                 static_cast<double>((now - exchange.sentAt).count), MinResponseMs);
+            ? baselineTimes_.isSlow(exchange.route->name, BaselineTimes::Step::FirstEvent,
+                                    firstEventRatio(exchange, now), MinFirstEventRatio)
+            : baselineTimes_.isSlow(exchange.route->name, BaselineTimes::Step::FullResponse,
+                                    static_cast<double>((now - exchange.sentAt).count), MinResponseMs);
         const bool isInconclusive
             = exchange.trialRole != TrialRole::Ordinary || (isStream && isMoving(exchange.service));
         if (isSlow && !isInconclusive)
@@ -334,20 +334,21 @@
         return out;
     const std::map<ServiceName, ServiceDemand> demands = demand(now);
     for (std::pair<const ServiceName, RolloutObservations> &each : out) {
-        RolloutObservations &facts = each.second;
-        const auto asked = demands.find(each.first);
-        facts.requestsPerSecond = asked == demands.end() ? 0 : asked->second.requestsPerSecond;
+        RolloutObservations &observations = each.second;
+        const auto foundDemand = demands.find(each.first);
+        observations.requestsPerSecond
+            = foundDemand == demands.end() ? 0 : foundDemand->second.requestsPerSecond;
         const ServedService *service = configuration_ ? configuration_->findService(each.first) : nullptr;
-        facts.isKnownService = service != nullptr;
+        observations.isKnownService = service != nullptr;
         if (service && service->engine)
-            facts.slotsPerTarget
+            observations.slotsPerTarget
                 = static_cast<uint32_t>(engineCapacity(*service->engine, ServiceDemand{}).running);
         const auto trial = trials_.find(each.first);
         if (trial == trials_.end())
             continue;
-        facts.isBad = trial->second.evaluator.isBad();
-        facts.isProven = trial->second.evaluator.isProven();
-        facts.figures = trial->second.evaluator.figures();
+        observations.isBad = trial->second.evaluator.isBad();
+        observations.isProven = trial->second.evaluator.isProven();
+        observations.figures = trial->second.evaluator.figures();
     }
     for (const std::pair<const EndpointId, FleetEndpoint> &entry : fleet_.all()) {
         const FleetEndpoint &endpoint = entry.second;
--- a/src/gateway/rollout/versionevaluator.cpp
+++ b/src/gateway/rollout/versionevaluator.cpp
@@ -105,15 +105,15 @@
 uint32_t VersionEvaluator::worstGroup() const
 {
     uint32_t worst = TrialCount::Others;
-    uint64_t most = 0;
+    uint64_t mostBad = 0;
     size_t groups = 0;
     for (uint32_t group = 0; group < TrialCount::Groups; ++group) {
         const auto found = sums_.find({AllRoutes, group});
         if (found == sums_.end() || found->second.answers == 0)
             continue;
         ++groups;
-        if (found->second.bad > most) {
-            most = found->second.bad;
+        if (found->second.bad > mostBad) {
+            mostBad = found->second.bad;
             worst = group;
         }
     }
--- a/src/gateway/sizing/demandmeter.cpp
+++ b/src/gateway/sizing/demandmeter.cpp
@@ -56,10 +56,10 @@
     sums.targetMsPerSecond += static_cast<double>(target.count);
 }
 
-void DemandMeter::recordFirstEvent(const ServiceName &service, uint64_t tokens, DurationMs took)
+void DemandMeter::recordFirstEvent(const ServiceName &service, uint64_t tokens, DurationMs duration)
 {
     const double count = static_cast<double>(tokens);
-    const double ms = static_cast<double>(took.count);
+    const double ms = static_cast<double>(duration.count);
     pending_[service].prefillSums.add({1, count, ms, count * count, count * ms});
 }
 
--- a/src/gateway/sizing/demandmeter.h
+++ b/src/gateway/sizing/demandmeter.h
@@ -14,7 +14,7 @@
     /// target.
     void recordRequest(const ServiceName &service, uint64_t tokens, DurationMs target);
     /// Records that the first event of a request that found no queue arrived `took` after it was sent.
-    void recordFirstEvent(const ServiceName &service, uint64_t tokens, DurationMs took);
+    void recordFirstEvent(const ServiceName &service, uint64_t tokens, DurationMs duration);
     /// Updates the means; call it at a regular interval. `running` has the number of requests per service
     /// that run at an endpoint or wait for one.
     void sample(const std::map<ServiceName, uint32_t> &running, TimeMs now);
--- a/src/gateway/sizing/enginecapacity.cpp
+++ b/src/gateway/sizing/enginecapacity.cpp
@@ -44,9 +44,9 @@
     double low = MinUtilization;
     double high = MaxUtilization;
     for (int i = 0; i < BisectionSteps; ++i) {
-        const double used = (low + high) / 2;
-        const double lateShare = used * std::exp(-slackMs * (1 - used) / queuedMs);
-        (lateShare > MaxLateShare ? high : low) = used;
+        const double utilization = (low + high) / 2;
+        const double lateShare = utilization * std::exp(-slackMs * (1 - utilization) / queuedMs);
+        (lateShare > MaxLateShare ? high : low) = utilization;
     }
     return low;
 }
@@ -62,18 +62,18 @@
 
 } // namespace
 
-PrefillSpeed prefillSpeed(const PrefillSums &readings)
+PrefillSpeed prefillSpeed(const PrefillSums &sums)
 {
     const PrefillSpeed defaults{DefaultTokensPerMs, DefaultBaseMs};
-    const double varianceTerm = readings.count * readings.tokensSquared - readings.tokens * readings.tokens;
-    const double covarianceTerm = readings.count * readings.tokensMs - readings.tokens * readings.ms;
-    if (readings.count < MinPrefillSamples || varianceTerm <= 0 || covarianceTerm <= 0)
+    const double varianceTerm = sums.count * sums.tokensSquared - sums.tokens * sums.tokens;
+    const double covarianceTerm = sums.count * sums.tokensMs - sums.tokens * sums.ms;
+    if (sums.count < MinPrefillSamples || varianceTerm <= 0 || covarianceTerm <= 0)
         return defaults;
     const double msPerToken = covarianceTerm / varianceTerm;
     const double tokensPerMs = 1 / msPerToken;
     if (tokensPerMs < MinTokensPerMs || tokensPerMs > MaxTokensPerMs)
         return defaults;
-    const double baseMs = (readings.ms - msPerToken * readings.tokens) / readings.count;
+    const double baseMs = (sums.ms - msPerToken * sums.tokens) / sums.count;
     return {tokensPerMs, std::max(baseMs, 0.0)};
 }
 
@@ -86,8 +86,8 @@
     const double queuedTokens
         = isKnown ? demand.prefillSquaresPerSecond / demand.prefillTokensPerSecond / 2 : DefaultQueuedTokens;
     const double slackMs = std::max(targetMs - speed.baseMs, MinSlackMs);
-    const double used = maxUtilization(slackMs, queuedTokens / speed.tokensPerMs);
-    return {speed.tokensPerMs * 1000 * used, meanConcurrency(engine.slots)};
+    const double utilization = maxUtilization(slackMs, queuedTokens / speed.tokensPerMs);
+    return {speed.tokensPerMs * 1000 * utilization, meanConcurrency(engine.slots)};
 }
 
 } // namespace cranberry
--- a/src/gateway/sizing/enginecapacity.h
+++ b/src/gateway/sizing/enginecapacity.h
@@ -18,7 +18,7 @@
 };
 
 /// Fits a line through the prefill samples; returns defaults while there are too few of them.
-PrefillSpeed prefillSpeed(const PrefillSums &readings);
+PrefillSpeed prefillSpeed(const PrefillSums &sums);
 
 /// Computes the capacity from the observed requests and engines of the service and the latency targets of
 /// callers. Uses no network or clock, so that tests can call it directly.
--- a/src/gateway/sizing/engineplan.cpp
+++ b/src/gateway/sizing/engineplan.cpp
@@ -82,8 +82,9 @@
     const uint32_t domains = static_cast<uint32_t>(stock.size());
     if (domains == 0)
         return plan;
-    const uint32_t most = std::max(bounds.max, 1U);
-    const uint32_t needed = std::clamp(enginesFor(input.demand, capacity), MinEngines, most * domains);
+    const uint32_t maxPerDomain = std::max(bounds.max, 1U);
+    const uint32_t needed
+        = std::clamp(enginesFor(input.demand, capacity), MinEngines, maxPerDomain * domains);
     const bool useReclaimable = bounds.reclaimablePrice < 1;
     const uint32_t remainingDomains = domains - domainsLostTogether(domains);
     const uint32_t neededPerDomain = (needed + remainingDomains - 1) / remainingDomains;
@@ -92,7 +93,7 @@
         = input.firstStart ? static_cast<uint32_t>(std::ceil(bounds.max * FirstStartShare)) : 0;
     const uint32_t knownPerDomain = std::max(foundPerDomain, firstStartPerDomain);
     const uint32_t perDomain = std::clamp(std::max({neededPerDomain, MinEnginesPerDomain, knownPerDomain}),
-                                          std::max(bounds.min, 1U), most);
+                                          std::max(bounds.min, 1U), maxPerDomain);
     uint32_t readyReclaimable = 0;
     uint32_t readyOnDemand = 0;
     uint32_t coming = 0;
@@ -120,7 +121,7 @@
     for (size_t i : cheapest) {
         if (!useReclaimable || input.scarce || stock.at(plan[i].failureDomain).reclaimableShort)
             continue;
-        const uint32_t more = std::min(shortfall, most - std::min(most, plan[i].reclaimable));
+        const uint32_t more = std::min(shortfall, maxPerDomain - std::min(maxPerDomain, plan[i].reclaimable));
         plan[i].reclaimable += more;
         shortfall -= more;
     }
@@ -162,7 +163,7 @@
     for (size_t i : cheapest) {
         const uint32_t used
             = plan[i].onDemand + (useReclaimable ? stock.at(plan[i].failureDomain).reclaimable : 0);
-        const uint32_t more = std::min(onDemand, most - std::min(most, used));
+        const uint32_t more = std::min(onDemand, maxPerDomain - std::min(maxPerDomain, used));
         plan[i].onDemand += more;
         onDemand -= more;
     }
--- a/src/gateway/sizing/enginesizing.cpp
+++ b/src/gateway/sizing/enginesizing.cpp
@@ -104,11 +104,11 @@
             sendOrder({service.name, domain.failureDomain, true}, domain.reclaimable, have.reclaimable, peak,
                       leadership, now);
             const OrderKey onDemand{service.name, domain.failureDomain, false};
-            const uint32_t there = have.onDemand + have.onTrial + have.barred;
+            const uint32_t existing = have.onDemand + have.onTrial + have.barred;
             if (isUnderWay && domain.onDemand > have.onDemand)
-                sendOrder(onDemand, domain.onDemand + maxOnTrial(stock), there, peak, leadership, now);
+                sendOrder(onDemand, domain.onDemand + maxOnTrial(stock), existing, peak, leadership, now);
             else if (!isUnderWay && mayStop)
-                sendOrder(onDemand, domain.onDemand, there, peak, leadership, now);
+                sendOrder(onDemand, domain.onDemand, existing, peak, leadership, now);
         }
     }
 }
@@ -194,10 +194,10 @@
 // assumed to have as many engines on trial as the one with the most.
 uint32_t EngineSizing::maxOnTrial(const std::map<FailureDomainName, DomainStock> &stock)
 {
-    uint32_t most = 0;
+    uint32_t highest = 0;
     for (const std::pair<const FailureDomainName, DomainStock> &domain : stock)
-        most = std::max(most, domain.second.onTrial);
-    return most;
+        highest = std::max(highest, domain.second.onTrial);
+    return highest;
 }
 
 // Engines ordered before a roll-out may be of a version that is stopped by its end: resend the orders.
@@ -234,14 +234,14 @@
     }
 }
 
-void EngineSizing::sendOrder(const OrderKey &subject, uint32_t count, uint32_t there,
+void EngineSizing::sendOrder(const OrderKey &subject, uint32_t count, uint32_t existing,
                              const ServiceDemand &demand, const Leadership &leadership, TimeMs now)
 {
     OrderState &ordered = ordered_[subject];
     if (now < ordered.nextAt)
         return;
-    const DurationMs pace = there > count ? CorrectionInterval : ResendInterval;
-    if (ordered.confirmed && ordered.count == count && now < ordered.nextAt + pace)
+    const DurationMs interval = existing > count ? CorrectionInterval : ResendInterval;
+    if (ordered.confirmed && ordered.count == count && now < ordered.nextAt + interval)
         return;
     if (ordered.count != count)
         log_.write(LogPriority::State, "engines_ordered",
--- a/src/gateway/sizing/enginesizing.h
+++ b/src/gateway/sizing/enginesizing.h
@@ -59,7 +59,7 @@
     ServiceDemand peakDemand(const ServiceName &service, const ServiceDemand &demand, TimeMs now);
     void resendReclaimableOrders(const ServiceName &service);
     void logStock(const ServiceName &service, const std::map<FailureDomainName, DomainStock> &stock);
-    void sendOrder(const OrderKey &subject, uint32_t count, uint32_t there, const ServiceDemand &demand,
+    void sendOrder(const OrderKey &subject, uint32_t count, uint32_t existing, const ServiceDemand &demand,
                    const Leadership &leadership, TimeMs now);
 
     bool firstStart_;
--- a/tests/crashsuspects_test.cpp
+++ b/tests/crashsuspects_test.cpp
@@ -10,9 +10,9 @@
 
 constexpr RequestDigest Bad{1};
 
-EndpointCrash crashOf(RequestDigest request, int endpoint, bool ranWell = false)
+EndpointCrash crashOf(RequestDigest request, int endpoint, bool hadStreamed = false)
 {
-    return {request, {EndpointId{"engine-" + std::to_string(endpoint)}, {}}, ranWell};
+    return {request, {EndpointId{"engine-" + std::to_string(endpoint)}, {}}, hadStreamed};
 }
 
 } // namespace
--- a/tests/endpointcrashes_test.cpp
+++ b/tests/endpointcrashes_test.cpp
@@ -31,7 +31,7 @@
     broken(sent[0].attempt);
     broken(sent[1].attempt);
     REQUIRE(probes.size() == 1);
-    CHECK(probes[0].afterBreak);
+    CHECK(probes[0].afterConnectionFailure);
     endpointEnded(probes[0].endpoint);
     CHECK(log.count("endpoint_ended") == 1);
     CHECK(log.count("lost_with_endpoint") == 2);
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -458,17 +458,17 @@
     LeaderCall call;
     call.fencingToken = 12;
     call.usage = UsageReport{353, {{{"a"}, 412}}};
-    HttpRequest request = platform::encodeLeaderTask(call, {"front-1"});
+    HttpRequest request = platform::encodeLeaderCall(call, {"front-1"});
     CHECK(request.target == "/usage");
     CHECK(headerOf(request.headers, "X-Fence-Token") == "12");
     CHECK(request.body == R"({"WindowId":353,"Counts":{"a":412}})");
     call.usage.reset();
     call.order = EngineOrder{{"s"}, {"z"}, 6, true};
-    request = platform::encodeLeaderTask(call, {"front-1"});
+    request = platform::encodeLeaderCall(call, {"front-1"});
     CHECK(request.target == "/scale");
     CHECK(request.body == R"({"Service":"s","Zone":"z","DesiredCount":6,"Spot":true})");
-    CHECK(platform::decodeLeaderTaskStatus(409) == LeaderCallOutcome::NoneAvailable);
-    CHECK(platform::decodeLeaderTaskStatus(0) == LeaderCallOutcome::NoReply);
+    CHECK(platform::decodeLeaderCallStatus(409) == LeaderCallOutcome::NoneAvailable);
+    CHECK(platform::decodeLeaderCallStatus(0) == LeaderCallOutcome::NoReply);
 
     CHECK(platform::decodeMigrationReply({1}, 200, R"({"Handle":"h","Created":5})").outcome
           == MigrationOutcome::Migrated);
@@ -488,7 +488,7 @@
     const std::optional<GatewayDaemonSettings> settings = settingsFrom(good, &errorText);
     REQUIRE_MESSAGE(settings, errorText);
     CHECK(settings->stopGrace.count == 8000);
-    CHECK(settings->dutyAddress.port == 0);
+    CHECK(settings->leaderCallAddress.port == 0);
     std::string text = good;
     text.replace(text.find("\"failureDomain\":\"z\","), 20, "");
     CHECK_FALSE(settingsFrom(text, &errorText));
--- a/tests/versionevaluator_test.cpp
+++ b/tests/versionevaluator_test.cpp
@@ -65,7 +65,7 @@
 
 /// Simulates a trial in which six target endpoints take a twentieth of 156 requests per second on three
 /// routes; returns the seconds from the fault to the alarm.
-template <typename Judge>
+template <typename Evaluator>
 std::optional<double> secondsUntilBad(const Conditions &conditions, const Fault &fault, uint64_t seed)
 {
     Random random(seed);
@@ -82,7 +82,7 @@
         ++count.answers;
         count.bad += bad ? 1 : 0;
     };
-    Judge judge;
+    Evaluator evaluator;
     for (double second = 0; second < TrialSeconds; second += StepSeconds) {
         const double usual = second >= conditions.overloadFrom ? 1.0 / 3 : conditions.usualBad;
         for (int i = 0; i < 37; ++i)
@@ -106,8 +106,8 @@
         sums.reserve(counts.size());
         for (const std::pair<const std::pair<int, uint32_t>, TrialCount> &each : counts)
             sums.push_back(each.second);
-        judge.update(sums);
-        if (judge.isBad())
+        evaluator.update(sums);
+        if (evaluator.isBad())
             return second + StepSeconds - fault.fromSecond;
     }
     return std::nullopt;
@@ -118,13 +118,13 @@
     double seconds = 0; ///< Mean time until the alarm.
 };
 
-template <typename Judge>
+template <typename Evaluator>
 Result simulateTrials(const Conditions &conditions, const Fault &fault)
 {
     Result out;
     int found = 0;
     for (uint64_t seed = 1; seed <= Seeds; ++seed) {
-        const std::optional<double> seconds = secondsUntilBad<Judge>(conditions, fault, seed);
+        const std::optional<double> seconds = secondsUntilBad<Evaluator>(conditions, fault, seed);
         found += seconds ? 1 : 0;
         out.seconds += seconds.value_or(0);
     }
@@ -174,38 +174,38 @@
 
 TEST_CASE("a version is proven only by answers on each route that is used")
 {
-    VersionEvaluator judge;
+    VersionEvaluator evaluator;
     std::vector<TrialCount> sums
         = {{{"s"}, {"v2"}, "a", 1, 60, 0}, {{"s"}, {"v2"}, "a", TrialCount::Others, 600, 6}};
-    judge.update(sums);
-    CHECK(judge.isProven());
+    evaluator.update(sums);
+    CHECK(evaluator.isProven());
     sums.push_back({{"s"}, {"v2"}, "b", TrialCount::Others, 300, 3});
-    judge.update(sums);
-    CHECK_FALSE(judge.isProven());
+    evaluator.update(sums);
+    CHECK_FALSE(evaluator.isProven());
     sums.push_back({{"s"}, {"v2"}, "b", 2, 12, 0});
-    judge.update(sums);
-    CHECK(judge.isProven());
+    evaluator.update(sums);
+    CHECK(evaluator.isProven());
 }
 
 TEST_CASE("counts that fall because a daemon left are skipped")
 {
-    VersionEvaluator judge;
-    const auto take = [&judge](uint64_t answers, uint64_t bad) {
-        judge.update({{{"s"}, {"v2"}, "a", 1, answers, bad}, {{"s"}, {"v2"}, "a", 2, answers, bad}});
+    VersionEvaluator evaluator;
+    const auto take = [&evaluator](uint64_t answers, uint64_t bad) {
+        evaluator.update({{{"s"}, {"v2"}, "a", 1, answers, bad}, {{"s"}, {"v2"}, "a", 2, answers, bad}});
     };
     for (int i = 0; i < 20; ++i)
         take(i % 2 == 0 ? 100 : 60, i % 2 == 0 ? 50 : 30);
     take(60, 30);
-    CHECK(judge.figures().answers == 120);
+    CHECK(evaluator.figures().answers == 120);
 }
 
 TEST_CASE("a clearly worse version is not proven, even without an alarm")
 {
     // The other versions are overloaded, the target has few endpoints, and one group of them is left out: the
     // score stays below its threshold. Still a third of the answers of the version were slow.
-    VersionEvaluator judge;
-    judge.update({{{"s"}, {"v2"}, "a", 1, 45, 16}, {{"s"}, {"v2"}, "a", TrialCount::Others, 1000, 80}});
-    CHECK_FALSE(judge.isProven());
+    VersionEvaluator evaluator;
+    evaluator.update({{{"s"}, {"v2"}, "a", 1, 45, 16}, {{"s"}, {"v2"}, "a", TrialCount::Others, 1000, 80}});
+    CHECK_FALSE(evaluator.isProven());
     VersionEvaluator good;
     good.update({{{"s"}, {"v2"}, "a", 1, 45, 6}, {{"s"}, {"v2"}, "a", TrialCount::Others, 1000, 80}});
     CHECK(good.isProven());
