--- a/src/gateway/limits/quotas.h
+++ b/src/gateway/limits/quotas.h
@@ -51,7 +51,7 @@
     /// Takes the units that this daemon does not need, for a deposit at a quota pool daemon. Returns 0 if
     /// they are not worth a message.
     double surplus(const OrganisationName &organisation);
-    /// Takes up to `asked` units from the balance for another daemon, as far as they can be spared.
+    /// Takes up to `requested` units from the balance for another daemon, as far as they can be spared.
     double give(const OrganisationName &organisation, double requested);
     void receive(const OrganisationName &organisation, double units);
     /// Adds deposited units up to this daemon's bound; the rest is lost.
--- a/src/gateway/rollout/rolloutcontroller.h
+++ b/src/gateway/rollout/rolloutcontroller.h
@@ -43,7 +43,7 @@
     explicit RolloutController(DecisionLog &log) : log_(log) { }
     void setBounds(const RolloutBounds &bounds) { bounds_ = bounds; }
 
-    /// `facts` has the observations for each service with an order or an undecided record.
+    /// `observations` has an entry for each service with an order or an undecided record.
     void tick(const Leadership &leadership, const StoreSync::Rollouts &rollouts,
               const std::map<ServiceName, RolloutObservations> &observations, int64_t wallMs, TimeMs now);
     void onStoreReply(const StoreReply &reply, TimeMs now);
--- a/src/gateway/rollout/trialcounts.h
+++ b/src/gateway/rollout/trialcounts.h
@@ -50,7 +50,7 @@
 
     void record(const std::string &route, Step step, double time);
     /// Returns whether `time` is several times the mean; false while there are too few samples. Means below
-    /// `least` are raised to it, since such short times vary for other reasons.
+    /// `minTime` are raised to it, since such short times vary for other reasons.
     bool isSlow(const std::string &route, Step step, double time, double minTime) const;
 
 private:
--- a/src/gateway/sizing/demandmeter.h
+++ b/src/gateway/sizing/demandmeter.h
@@ -13,7 +13,7 @@
     /// Records a request that is sent and needs a prefill of `tokens`; `target` is its time-to-first-event
     /// target.
     void recordRequest(const ServiceName &service, uint64_t tokens, DurationMs target);
-    /// Records that the first event of a request that found no queue arrived `took` after it was sent.
+    /// Records that the first event of a request that found no queue arrived `duration` after it was sent.
     void recordFirstEvent(const ServiceName &service, uint64_t tokens, DurationMs duration);
     /// Updates the means; call it at a regular interval. `running` has the number of requests per service
     /// that run at an endpoint or wait for one.
